--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,7 @@
 PROGRAMS := ./entry/cmd/catkinrail-entry ./control/cmd/catkinrail-control ./ctl/cmd/catkinctl ./emulator/cmd/catkinrail-emulator
 MODULES  := . control ctl emulator entry
 LINT     := github.com/golangci/golangci-lint/v2/cmd/golangci-lint@v2.15.0
+GOPLS    := golang.org/x/tools/gopls@v0.23.0
 PACKAGES := $(MODULES:%=./%/...)
 
 .PHONY: build
@@ -35,6 +36,10 @@
 generate: ## Generate code from the schema files.
 	GOWORK=off go tool -modfile=tools/go.mod buf generate
 
+.PHONY: gopls
+gopls: ## Build gopls, for renaming identifiers, into bin.
+	GOBIN=$(CURDIR)/bin go install $(GOPLS)
+
 .PHONY: fuzz
 fuzz: ## Fuzz the packet path and every decoder for a while each.
 	./scripts/fuzz.sh
