--- a/control/core/core.go
+++ b/control/core/core.go
@@ -1,6 +1,6 @@
-// Package core runs a control instance: it feeds the quorum node, keeps its
-// writes on disk, applies what is agreed, and on the leader advances moves and
-// grants leases.
+// Package core runs a control instance: it drives the quorum node, writes the
+// node's log to disk, applies committed entries, and on the leader advances moves
+// and grants leases to entry instances.
 package core
 
 import (
@@ -20,32 +20,37 @@
 	"catkinrail.example/catkinrail/state/journal"
 )
 
-// Timing of the loop.
+// Intervals and limits of the main loop.
 const (
 	tickInterval = 10 * time.Millisecond
+	// planInterval is the least time between two planning rounds of the leader.
 	planInterval = 50 * time.Millisecond
-	// maxChanges is the number of changes kept for entry instances that lag.
+	// maxChanges is the number of recent changes that are kept for entry instances
+	// that lag behind. Up to twice as many are held between two trims.
 	maxChanges = 4096
-	// maxEntries is the length of the log, in entries, that calls for a snapshot.
-	maxEntries = 8192
-	inboxSize  = 1024
+	// maxLogEntries is the length of the log, in entries, from which a snapshot
+	// replaces it.
+	maxLogEntries = 8192
+	// inboxSize is the number of calls that can be queued for the core's goroutine.
+	inboxSize = 1024
 )
 
-// Errors of Submit.
+// Errors of requests to a core.
 var (
-	// ErrNotLeader means that the request did not run here.
+	// ErrNotLeader means that this instance doesn't lead and did not run the request.
 	ErrNotLeader = errors.New("not the leader")
 	// ErrNotRun means that the request did not run and never will.
 	ErrNotRun = errors.New("not run")
-	// ErrUnknown means that the request may or may not have run. Asking for its
-	// outcome, or sending it again, tells.
+	// ErrUnknown means that the request may or may not have run. The caller can ask
+	// for its outcome or send it again.
 	ErrUnknown = errors.New("outcome unknown")
-	// ErrNoLease means that this cluster grants no leases to entry instances.
-	ErrNoLease = errors.New("leases are turned off")
+	// ErrLeasesDisabled means that this cluster grants no leases to entry instances.
+	ErrLeasesDisabled = errors.New("leases are turned off")
 )
 
-// LeaderError is ErrNotLeader with the address to try instead.
+// LeaderError is an ErrNotLeader with the address of the leader.
 type LeaderError struct {
+	// Leader is empty if no leader is known.
 	Leader string
 }
 
@@ -62,57 +67,69 @@
 	return target == ErrNotLeader
 }
 
-// Config is what a core is made of.
+// Config holds the settings and dependencies of a core.
 type Config struct {
-	ID      quorum.NodeID
-	Name    string
-	Timing  quorum.Timing
-	Lease   time.Duration
+	ID     quorum.NodeID
+	Name   string
+	Timing quorum.Timing
+	// Lease is the duration of the leases granted to entry instances.
+	Lease time.Duration
+	// Seed seeds the node's random election timeouts.
 	Seed    uint64
 	Clock   catkinrail.Clock
 	Log     *logs.Logger
 	Journal *journal.Journal
-	Stored  quorum.Stored
-	// Reopen opens the journal anew after a write failed. If it is nil, the
-	// failure ends Run.
+	// Stored is what Journal held when it was opened.
+	Stored quorum.Stored
+	// Reopen opens the journal again after a failure. If it is nil, the failure
+	// ends Run.
 	Reopen func() (*journal.Journal, quorum.Stored, error)
-	// EvictAfter is the silence after which the leader removes a voter; zero for
-	// never.
+	// EvictAfter is the time without an answer after which the leader removes a
+	// member; zero disables removal.
 	EvictAfter time.Duration
-	// Send passes messages on to other control instances without waiting.
+	// Send sends messages to other control instances. It must not block.
 	Send func([]quorum.Message, *quorum.Members)
 }
 
-// Core is a control instance. Its state belongs to the goroutine of Run.
+// Core is a control instance. Its state belongs to the goroutine of Run. Other
+// goroutines use the inbox and the atomic values.
 type Core struct {
-	cfg    Config
+	cfg Config
+	// inbox queues calls for the goroutine of Run.
 	inbox  chan func()
 	node   *quorum.Node
 	state  *cluster.State
 	leader leaderState
-	// changes are the latest ones, in order.
+	// changes are the latest applied changes, in order.
 	changes []cluster.Change
 	// changed is closed and replaced after each change.
 	changed chan struct{}
+	// pending are the proposals that are not in the log yet.
 	pending []*proposal
-	flying  *proposal
+	// inFlight is the proposal whose entry is in the log but not committed, or nil.
+	inFlight *proposal
+	// stopped is closed when Run returns.
 	stopped chan struct{}
 	reads   []pendingRead
-	// membersSeen is the index of the members in the published snapshot.
-	membersSeen uint64
-	published   atomic.Pointer[Snapshot]
-	// advanced is closed and replaced with every snapshot.
+	// publishedMembersIndex is the index of the entry that set the members in the
+	// published snapshot.
+	publishedMembersIndex uint64
+	published             atomic.Pointer[Snapshot]
+	// advanced is closed and replaced when a snapshot is published.
 	advanced atomic.Pointer[chan struct{}]
 	synced   atomic.Int64
 }
 
-// proposal is a change that somebody waits for.
+// proposal is a change of the cluster state on its way into the log.
 type proposal struct {
+	// evaluate returns the events to propose, and the answer for the caller.
 	evaluate func(*cluster.State) ([]cluster.Event, *cluster.Answer, error)
 	answer   *cluster.Answer
-	done     chan Result
-	index    uint64
-	term     uint64
+	// done receives the result; nil if nobody waits for it.
+	done chan Result
+	// index and term are those of the proposal's entry in the log.
+	index uint64
+	term  uint64
 }
 
 // Result is the outcome of a proposal.
@@ -121,7 +138,7 @@
 	Err    error
 }
 
-// New returns a core that continues from what is on disk.
+// New returns a core that continues from cfg.Stored.
 func New(cfg Config) (*Core, error) {
 	c := &Core{
 		cfg:     cfg,
@@ -131,7 +148,7 @@
 		stopped: make(chan struct{}),
 	}
 	c.advanced.Store(newSignal())
-	if err := c.begin(); err != nil {
+	if err := c.startFromDisk(); err != nil {
 		return nil, err
 	}
 	return c, nil
@@ -141,7 +158,8 @@
 	return c.cfg.Clock.Now().UnixNano()
 }
 
-// Run runs the instance until ctx ends or its disk fails.
+// Run runs the instance until ctx ends. Without Config.Reopen it also ends at the
+// first failure to write or apply, and returns it.
 func (c *Core) Run(ctx context.Context) error {
 	defer close(c.stopped)
 	ticker := time.NewTicker(tickInterval)
@@ -156,7 +174,7 @@
 		case <-ticker.C:
 			c.node.Tick(c.now())
 		}
-		c.work()
+		c.runLeader()
 		if err := c.handleReady(); err != nil {
 			if err := c.recover(ctx, err); err != nil {
 				return err
@@ -168,8 +186,8 @@
 	}
 }
 
-// drainInbox handles what has come in meanwhile, so that one write to disk
-// serves several messages.
+// drainInbox runs the calls that are queued, so that one write to disk serves
+// several of them.
 func (c *Core) drainInbox() {
 	for range inboxSize {
 		select {
@@ -181,7 +199,7 @@
 	}
 }
 
-// do runs f in the core's goroutine and waits for it.
+// do runs f in the core's goroutine and waits until it returns.
 func (c *Core) do(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	select {
@@ -201,7 +219,7 @@
 	}
 }
 
-// Step hands messages of other control instances to the node.
+// Step passes messages from other control instances to the node.
 func (c *Core) Step(ctx context.Context, list []quorum.Message) error {
 	select {
 	case c.inbox <- func() {
@@ -217,7 +235,8 @@
 	}
 }
 
-// handleReady does what the node asks for, in the order that it demands.
+// handleReady does what the node asks for, in the order that it requires: write
+// to disk, send, apply.
 func (c *Core) handleReady() error {
 	for {
 		r := c.node.Ready()
@@ -238,7 +257,7 @@
 		if err := c.compact(); err != nil {
 			return catkinrail.At(err, "write snapshot", c.cfg.Name)
 		}
-		c.work()
+		c.runLeader()
 	}
 }
 
@@ -278,14 +297,14 @@
 		if err := c.state.Apply(change); err != nil {
 			return err
 		}
-		c.remember(change)
+		c.keepChange(change)
 		c.notify()
 	}
-	c.settle(e)
+	c.resolveInFlight(e)
 	return nil
 }
 
-func (c *Core) remember(change cluster.Change) {
+func (c *Core) keepChange(change cluster.Change) {
 	c.changes = append(c.changes, change)
 	if len(c.changes) > 2*maxChanges {
 		c.changes = append([]cluster.Change(nil), c.changes[len(c.changes)-maxChanges:]...)
@@ -297,18 +316,19 @@
 	c.changed = make(chan struct{})
 }
 
-// settle answers the proposal in flight once the entry at its index is known.
-func (c *Core) settle(e *quorum.Entry) {
-	p := c.flying
+// resolveInFlight finishes the proposal in flight once the entry at its index is
+// committed.
+func (c *Core) resolveInFlight(e *quorum.Entry) {
+	p := c.inFlight
 	if p == nil || e.Index < p.index {
 		return
 	}
-	c.flying = nil
+	c.inFlight = nil
 	if e.Index == p.index && e.Term == p.term {
 		p.finish(Result{Answer: p.answer})
 		return
 	}
-	// Another entry was committed in its place.
+	// Another entry was committed at its index.
 	p.finish(Result{Err: ErrNotRun})
 }
 
@@ -318,10 +338,10 @@
 	}
 }
 
-// compact replaces a long log by a snapshot.
+// compact replaces the applied part of a long log by a snapshot.
 func (c *Core) compact() error {
 	applied := c.node.Applied()
-	if !c.cfg.Journal.Full() && c.node.LastIndex()-c.firstIndex() < maxEntries {
+	if !c.cfg.Journal.Full() && c.node.LastIndex()-c.firstIndex() < maxLogEntries {
 		return nil
 	}
 	if applied == c.firstIndex() {
@@ -343,9 +363,10 @@
 	return c.node.FirstIndex()
 }
 
-// work does what the leader has to do: propose the next change and advance
-// moves. Others send their callers to the leader.
-func (c *Core) work() {
+// runLeader does the leader's work: it advances moves, removes silent members and
+// proposes the next pending change. On other instances it rejects the pending
+// proposals.
+func (c *Core) runLeader() {
 	now := c.now()
 	c.leader.update(c, now)
 	if !c.leader.active {
@@ -354,23 +375,24 @@
 	}
 	c.leader.plan(c, now)
 	c.evictSilent()
-	for c.flying == nil && len(c.pending) > 0 {
+	for c.inFlight == nil && len(c.pending) > 0 {
 		p := c.pending[0]
 		c.pending = c.pending[1:]
 		c.propose(p)
 	}
 }
 
-// rejectPending turns away what was not proposed yet. A proposal in flight
-// stays until its entry's fate is known, or its caller gives up.
+// rejectPending rejects the proposals that are not in the log yet. The one in
+// flight stays until its entry is committed or replaced, or until the node is no
+// longer leader: then its outcome is unknown.
 func (c *Core) rejectPending() {
 	for _, p := range c.pending {
 		p.finish(Result{Err: c.leaderError()})
 	}
 	c.pending = nil
-	if c.flying != nil && c.node.Role() != quorum.Leader {
-		c.flying.finish(Result{Err: ErrUnknown})
-		c.flying = nil
+	if c.inFlight != nil && c.node.Role() != quorum.Leader {
+		c.inFlight.finish(Result{Err: ErrUnknown})
+		c.inFlight = nil
 	}
 }
 
@@ -379,8 +401,9 @@
 	return &LeaderError{Leader: m.Nodes[c.node.LeaderID()].Addr}
 }
 
-// propose evaluates the proposal against the applied state, which is the latest
-// since only one proposal is in flight.
+// propose evaluates the proposal against the applied state and appends its entry
+// to the log. The applied state is the latest since only one proposal is in
+// flight at a time.
 func (c *Core) propose(p *proposal) {
 	events, answer, err := p.evaluate(c.state)
 	if err != nil || len(events) == 0 {
@@ -398,11 +421,11 @@
 		p.finish(Result{Err: c.leaderError()})
 		return
 	}
-	c.flying = p
+	c.inFlight = p
 }
 
-// Submit proposes the events that evaluate returns and waits until they are in
-// force. If evaluate returns none, its answer is returned at once.
+// Submit proposes the events that evaluate returns and waits until they are
+// applied. If evaluate returns no events, its answer is returned at once.
 func (c *Core) Submit(ctx context.Context, evaluate func(*cluster.State) ([]cluster.Event, *cluster.Answer, error)) (*cluster.Answer, error) {
 	p := &proposal{evaluate: evaluate, done: make(chan Result, 1)}
 	if err := c.do(ctx, func() { c.pending = append(c.pending, p) }); err != nil {
@@ -421,8 +444,8 @@
 	}
 }
 
-// Read calls f with the agreed state, if this instance is the leader and a
-// majority has confirmed so after the call began.
+// Read calls f with the committed state, if this instance is the leader and a
+// majority has confirmed this after the call began.
 func (c *Core) Read(ctx context.Context, f func(*cluster.State, *Status)) error {
 	if _, err := c.ReadIndex(ctx); err != nil {
 		return err
@@ -430,18 +453,18 @@
 	return c.do(ctx, func() { f(c.state, c.status()) })
 }
 
-// Start runs the core in the group.
+// Start runs the core in a goroutine of the group.
 func (c *Core) Start(ctx context.Context, g *errgroup.Group) {
 	g.Go(func() error { return c.Run(ctx) })
 }
 
-// Local calls f with the state that this instance has applied, whether or not it
-// is current.
+// Local calls f with the state that this instance has applied, which may be out
+// of date.
 func (c *Core) Local(ctx context.Context, f func(*cluster.State, *Status)) error {
 	return c.do(ctx, func() { f(c.state, c.status()) })
 }
 
-// evaluatePlan adapts a planner's events to a proposal.
+// evaluatePlan adapts a function that plans events to a proposal.
 func evaluatePlan(events func(*cluster.State) []cluster.Event) func(*cluster.State) ([]cluster.Event, *cluster.Answer, error) {
 	return func(s *cluster.State) ([]cluster.Event, *cluster.Answer, error) {
 		return events(s), nil, nil
--- a/control/core/core_test.go
+++ b/control/core/core_test.go
@@ -18,36 +18,38 @@
 	"catkinrail.example/catkinrail/state/journal"
 )
 
-// manual is a clock that tests set.
-type manual struct {
+// manualClock is a clock that tests set.
+type manualClock struct {
 	now time.Time
 }
 
-func (m *manual) Now() time.Time { return m.now }
+func (m *manualClock) Now() time.Time { return m.now }
 
-// ensemble is a set of cores that are driven step by step.
-type ensemble struct {
+// testCluster is a set of cores that tests run step by step in one goroutine.
+type testCluster struct {
 	t     *testing.T
-	clock *manual
+	clock *manualClock
 	cores map[quorum.NodeID]*Core
 	disks map[quorum.NodeID]*fake.Disk
-	wire  []quorum.Message
-	down  map[quorum.NodeID]bool
-	n     int
-	// timing and evict are those of cores that start from now on.
-	timing quorum.Timing
-	evict  time.Duration
+	// messages holds the messages that are not delivered yet.
+	messages []quorum.Message
+	// down is set for cores that don't run and get no messages.
+	down map[quorum.NodeID]bool
+	n    int
+	// timing and evictAfter apply to cores that are started from now on.
+	timing     quorum.Timing
+	evictAfter time.Duration
 }
 
-func newEnsemble(t *testing.T, n int) *ensemble {
+func newTestCluster(t *testing.T, n int) *testCluster {
 	t.Helper()
-	return newEnsembleWith(t, n, quorum.DefaultTiming, 0)
+	return newTestClusterWith(t, n, quorum.DefaultTiming, 0)
 }
 
-func newEnsembleWith(t *testing.T, n int, timing quorum.Timing, evict time.Duration) *ensemble {
+func newTestClusterWith(t *testing.T, n int, timing quorum.Timing, evict time.Duration) *testCluster {
 	t.Helper()
-	e := &ensemble{
-		t: t, clock: &manual{now: time.Unix(1000, 0)}, n: n, timing: timing, evict: evict,
+	tc := &testCluster{
+		t: t, clock: &manualClock{now: time.Unix(1000, 0)}, n: n, timing: timing, evictAfter: evict,
 		cores: map[quorum.NodeID]*Core{}, disks: map[quorum.NodeID]*fake.Disk{}, down: map[quorum.NodeID]bool{},
 	}
 	members := quorum.Members{Nodes: map[quorum.NodeID]quorum.Peer{}}
@@ -56,78 +58,82 @@
 	}
 	for i := 1; i <= n; i++ {
 		id := quorum.NodeID(i)
-		e.disks[id] = fake.NewDisk()
-		j, _, err := journal.Open(e.disks[id])
+		tc.disks[id] = fake.NewDisk()
+		j, _, err := journal.Open(tc.disks[id])
 		require.NoError(t, err)
 		require.NoError(t, j.SaveSnapshot(&quorum.Snapshot{Members: members}, nil))
-		e.start(id)
+		tc.start(id)
 	}
-	e.run(3 * time.Second)
-	return e
+	tc.run(3 * time.Second)
+	return tc
 }
 
 // start starts a core from its disk.
-func (e *ensemble) start(id quorum.NodeID) {
-	j, stored, err := journal.Open(e.disks[id])
-	require.NoError(e.t, err)
+func (tc *testCluster) start(id quorum.NodeID) {
+	j, stored, err := journal.Open(tc.disks[id])
+	require.NoError(tc.t, err)
 	c, err := New(Config{
-		ID: id, Name: fmt.Sprint("control-", id), Timing: e.timing, Lease: time.Second, Seed: uint64(id),
-		EvictAfter: e.evict, Reopen: func() (*journal.Journal, quorum.Stored, error) { return journal.Open(e.disks[id]) },
-		Clock: e.clock, Log: logs.Discard(), Journal: j, Stored: stored,
-		Send: func(list []quorum.Message, _ *quorum.Members) { e.wire = append(e.wire, list...) },
+		ID: id, Name: fmt.Sprint("control-", id), Timing: tc.timing, Lease: time.Second, Seed: uint64(id),
+		EvictAfter: tc.evictAfter, Reopen: func() (*journal.Journal, quorum.Stored, error) { return journal.Open(tc.disks[id]) },
+		Clock: tc.clock, Log: logs.Discard(), Journal: j, Stored: stored,
+		Send: func(list []quorum.Message, _ *quorum.Members) { tc.messages = append(tc.messages, list...) },
 	})
-	require.NoError(e.t, err)
-	e.cores[id] = c
-	e.down[id] = false
+	require.NoError(tc.t, err)
+	tc.cores[id] = c
+	tc.down[id] = false
 }
 
-func (e *ensemble) run(d time.Duration) {
+// run advances the clock by d in steps of a tick.
+func (tc *testCluster) run(d time.Duration) {
 	const tick = 10 * time.Millisecond
-	for end := e.clock.now.Add(d); e.clock.now.Before(end); e.clock.now = e.clock.now.Add(tick) {
-		e.step()
+	for end := tc.clock.now.Add(d); tc.clock.now.Before(end); tc.clock.now = tc.clock.now.Add(tick) {
+		tc.step()
 	}
 }
 
-func (e *ensemble) step() {
-	for i := 1; i <= e.n; i++ {
+// step ticks every running core once and delivers the messages sent by then, except
+// those from or to cores that are down.
+func (tc *testCluster) step() {
+	for i := 1; i <= tc.n; i++ {
 		id := quorum.NodeID(i)
-		if e.down[id] {
+		if tc.down[id] {
 			continue
 		}
-		e.cores[id].node.Tick(e.cores[id].now())
-		e.work(id)
+		tc.cores[id].node.Tick(tc.cores[id].now())
+		tc.process(id)
 	}
-	wire := e.wire
-	e.wire = nil
-	for _, m := range wire {
-		if e.down[m.From] || e.down[m.To] {
+	list := tc.messages
+	tc.messages = nil
+	for _, m := range list {
+		if tc.down[m.From] || tc.down[m.To] {
 			continue
 		}
-		e.cores[m.To].node.Step(m, e.cores[m.To].now())
-		e.work(m.To)
+		tc.cores[m.To].node.Step(m, tc.cores[m.To].now())
+		tc.process(m.To)
 	}
 }
 
-func (e *ensemble) work(id quorum.NodeID) {
-	c := e.cores[id]
-	c.work()
-	require.NoError(e.t, c.handleReady())
+// process does for a core what Run does after each event.
+func (tc *testCluster) process(id quorum.NodeID) {
+	c := tc.cores[id]
+	c.runLeader()
+	require.NoError(tc.t, c.handleReady())
 	c.confirmReads()
 	c.publish()
 }
 
-func (e *ensemble) leader() *Core {
-	for i := 1; i <= e.n; i++ {
+func (tc *testCluster) leader() *Core {
+	for i := 1; i <= tc.n; i++ {
 		id := quorum.NodeID(i)
-		if c := e.cores[id]; !e.down[id] && c.leader.active && c.node.Leading(c.now()) {
+		if c := tc.cores[id]; !tc.down[id] && c.leader.active && c.node.Leading(c.now()) {
 			return c
 		}
 	}
 	return nil
 }
 
-// submit begins a command and returns where its result will come.
-func (e *ensemble) submit(c *Core, cmd *plan.Command) chan Result {
+// beginCommand submits a command and returns the channel that receives its result.
+func (tc *testCluster) beginCommand(c *Core, cmd *plan.Command) chan Result {
 	done := make(chan Result, 1)
 	c.pending = append(c.pending, &proposal{done: done, evaluate: func(s *cluster.State) ([]cluster.Event, *cluster.Answer, error) {
 		return plan.Evaluate(s, cmd)
@@ -135,16 +141,16 @@
 	return done
 }
 
-func (e *ensemble) command(cmd *plan.Command) Result {
-	c := e.leader()
-	require.NotNil(e.t, c)
-	done := e.submit(c, cmd)
-	e.run(200 * time.Millisecond)
+func (tc *testCluster) command(cmd *plan.Command) Result {
+	c := tc.leader()
+	require.NotNil(tc.t, c)
+	done := tc.beginCommand(c, cmd)
+	tc.run(200 * time.Millisecond)
 	select {
 	case r := <-done:
 		return r
 	default:
-		require.Fail(e.t, "command was not answered")
+		require.Fail(tc.t, "command was not answered")
 		return Result{}
 	}
 }
@@ -153,130 +159,131 @@
 	return &plan.Command{Request: request, Create: &catkinrail.ServiceConfig{Name: name, Addr: netip.MustParseAddrPort(addr)}}
 }
 
-func (e *ensemble) crash(id quorum.NodeID) {
-	e.down[id] = true
+func (tc *testCluster) crash(id quorum.NodeID) {
+	tc.down[id] = true
 }
 
 func TestResendAfterChangeOfLeader(t *testing.T) {
-	e := newEnsemble(t, 3)
-	first := e.command(create("r1", "logbook", "192.0.2.1:443"))
+	tc := newTestCluster(t, 3)
+	first := tc.command(create("r1", "logbook", "192.0.2.1:443"))
 	require.NoError(t, first.Err)
-	old := e.leader().cfg.ID
-	e.crash(old)
-	e.run(3 * time.Second)
-	require.NotEqual(t, old, e.leader().cfg.ID)
-	again := e.command(create("r1", "logbook", "192.0.2.1:443"))
+	old := tc.leader().cfg.ID
+	tc.crash(old)
+	tc.run(3 * time.Second)
+	require.NotEqual(t, old, tc.leader().cfg.ID)
+	again := tc.command(create("r1", "logbook", "192.0.2.1:443"))
 	require.NoError(t, again.Err)
 	require.Equal(t, first.Answer, again.Answer)
-	e.start(old)
-	e.run(2 * time.Second)
-	require.Equal(t, e.leader().state.Version, e.cores[old].state.Version)
+	tc.start(old)
+	tc.run(2 * time.Second)
+	require.Equal(t, tc.leader().state.Version, tc.cores[old].state.Version)
 }
 
-// TestIsolatedLeader cuts the leader off in silence. It must refuse heartbeats and
-// commands within its lease, and what it had in flight must not run twice.
-func TestIsolatedLeader(t *testing.T) {
-	e := newEnsemble(t, 3)
-	require.NoError(t, e.command(create("r1", "logbook", "192.0.2.1:443")).Err)
-	old := e.leader()
-	for id := range e.cores {
-		e.down[id] = id != old.cfg.ID
+// TestPartitionedLeader partitions the leader from the others. It must refuse
+// heartbeats once its lease has ended and report the command that it had in flight
+// as unknown. Sent again to the next leader, the command must take effect once.
+func TestPartitionedLeader(t *testing.T) {
+	tc := newTestCluster(t, 3)
+	require.NoError(t, tc.command(create("r1", "logbook", "192.0.2.1:443")).Err)
+	old := tc.leader()
+	for id := range tc.cores {
+		tc.down[id] = id != old.cfg.ID
 	}
-	inFlight := e.submit(old, create("r2", "drawvault", "192.0.2.2:443"))
-	e.run(quorum.DefaultTiming.Election)
+	inFlight := tc.beginCommand(old, create("r2", "drawvault", "192.0.2.2:443"))
+	tc.run(quorum.DefaultTiming.Election)
 	_, err := old.heartbeat(&message.Heartbeat{ID: 1})
 	require.ErrorIs(t, err, ErrNotLeader)
-	e.run(2 * time.Second)
+	tc.run(2 * time.Second)
 	require.ErrorIs(t, (<-inFlight).Err, ErrUnknown)
-	e.crash(old.cfg.ID)
-	for id := range e.cores {
-		e.down[id] = id == old.cfg.ID
+	tc.crash(old.cfg.ID)
+	for id := range tc.cores {
+		tc.down[id] = id == old.cfg.ID
 	}
-	e.run(3 * time.Second)
-	require.NoError(t, e.command(create("r2", "drawvault", "192.0.2.2:443")).Err)
-	e.down[old.cfg.ID] = false
-	e.run(3 * time.Second)
-	for _, c := range e.cores {
+	tc.run(3 * time.Second)
+	require.NoError(t, tc.command(create("r2", "drawvault", "192.0.2.2:443")).Err)
+	tc.down[old.cfg.ID] = false
+	tc.run(3 * time.Second)
+	for _, c := range tc.cores {
 		require.Len(t, c.state.Services, 2)
-		require.Equal(t, e.leader().state.Version, c.state.Version)
+		require.Equal(t, tc.leader().state.Version, c.state.Version)
 	}
 }
 
-func TestEqualHalvesHaveNoWinner(t *testing.T) {
-	e := newEnsemble(t, 4)
-	version := e.leader().state.Version
-	old := e.leader()
-	e.down[old.cfg.ID%4+1], e.down[(old.cfg.ID+1)%4+1] = true, true
-	done := e.submit(old, create("r1", "logbook", "192.0.2.1:443"))
-	e.run(3 * time.Second)
+func TestNoLeaderInEvenPartition(t *testing.T) {
+	tc := newTestCluster(t, 4)
+	version := tc.leader().state.Version
+	old := tc.leader()
+	tc.down[old.cfg.ID%4+1], tc.down[(old.cfg.ID+1)%4+1] = true, true
+	done := tc.beginCommand(old, create("r1", "logbook", "192.0.2.1:443"))
+	tc.run(3 * time.Second)
 	require.ErrorIs(t, (<-done).Err, ErrUnknown)
-	require.Nil(t, e.leader())
-	for _, c := range e.cores {
+	require.Nil(t, tc.leader())
+	for _, c := range tc.cores {
 		require.Equal(t, version, c.state.Version)
 	}
 }
 
-// TestFullStop stops all control instances at once and starts them again.
-func TestFullStop(t *testing.T) {
-	e := newEnsemble(t, 3)
+// TestRestartOfAllInstances stops all control instances at once and restarts them.
+func TestRestartOfAllInstances(t *testing.T) {
+	tc := newTestCluster(t, 3)
 	for i := range 20 {
-		require.NoError(t, e.command(create(fmt.Sprint("r", i), fmt.Sprint("service-", i), fmt.Sprintf("192.0.2.%d:443", i+1))).Err)
+		require.NoError(t, tc.command(create(fmt.Sprint("r", i), fmt.Sprint("service-", i), fmt.Sprintf("192.0.2.%d:443", i+1))).Err)
 	}
-	for id := range e.cores {
-		e.crash(id)
+	for id := range tc.cores {
+		tc.crash(id)
 	}
-	for id := range e.cores {
-		e.start(id)
+	for id := range tc.cores {
+		tc.start(id)
 	}
-	e.run(3 * time.Second)
-	require.Len(t, e.leader().state.Services, 20)
+	tc.run(3 * time.Second)
+	require.Len(t, tc.leader().state.Services, 20)
 }
 
 func TestSnapshotAndLaggingFollower(t *testing.T) {
-	e := newEnsemble(t, 3)
-	require.NoError(t, e.command(create("r0", "service-0", "192.0.2.1:443")).Err)
-	lead := e.leader()
+	tc := newTestCluster(t, 3)
+	require.NoError(t, tc.command(create("r0", "service-0", "192.0.2.1:443")).Err)
+	lead := tc.leader()
 	behind := lead.cfg.ID%3 + 1
-	e.crash(behind)
+	tc.crash(behind)
 	for i := 1; i < 30; i++ {
-		require.NoError(t, e.command(create(fmt.Sprint("r", i), fmt.Sprint("service-", i), fmt.Sprintf("192.0.2.%d:443", i+1))).Err)
+		require.NoError(t, tc.command(create(fmt.Sprint("r", i), fmt.Sprint("service-", i), fmt.Sprintf("192.0.2.%d:443", i+1))).Err)
 	}
 	data, err := cluster.Encode(lead.state)
 	require.NoError(t, err)
 	s := lead.node.Snapshot(data)
 	require.NoError(t, lead.cfg.Journal.SaveSnapshot(s, lead.node.After(s.Index)))
 	lead.node.Compact(s)
-	e.start(behind)
-	e.run(5 * time.Second)
-	require.Equal(t, lead.state.Version, e.cores[behind].state.Version)
-	require.Len(t, e.cores[behind].state.Services, 30)
-	again := e.command(create("r3", "service-3", "192.0.2.4:443"))
+	tc.start(behind)
+	tc.run(5 * time.Second)
+	require.Equal(t, lead.state.Version, tc.cores[behind].state.Version)
+	require.Len(t, tc.cores[behind].state.Services, 30)
+	again := tc.command(create("r3", "service-3", "192.0.2.4:443"))
 	require.NoError(t, again.Err)
 	require.Equal(t, lead.state.FindAnswer("r3"), again.Answer)
 }
 
 func TestHeartbeatCatchUp(t *testing.T) {
 	tests := []struct {
-		name     string
-		forget   bool
-		snapshot bool
+		name        string
+		dropChanges bool
+		snapshot    bool
 	}{
-		{"changes are known", false, false},
-		{"changes are forgotten", true, true},
+		{"changes are kept", false, false},
+		{"changes are no longer kept", true, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			e := newEnsemble(t, 1)
-			c := e.leader()
+			tc := newTestCluster(t, 1)
+			c := tc.leader()
 			reg := &plan.Registration{Name: "entry-1", Zone: "kochi", Relay: netip.MustParseAddrPort("127.0.0.1:7301"), Incarnation: 1}
 			events, id, err := plan.Register(c.state, reg)
 			require.NoError(t, err)
 			c.enqueue(func(*cluster.State) []cluster.Event { return events })
-			e.run(100 * time.Millisecond)
+			tc.run(100 * time.Millisecond)
 			for i := range 10 {
-				require.NoError(t, e.command(create(fmt.Sprint("r", i), fmt.Sprint("service-", i), fmt.Sprintf("192.0.2.%d:443", i+1))).Err)
+				require.NoError(t, tc.command(create(fmt.Sprint("r", i), fmt.Sprint("service-", i), fmt.Sprintf("192.0.2.%d:443", i+1))).Err)
 			}
-			if tt.forget {
+			if tt.dropChanges {
 				c.changes = nil
 			}
 			r, err := c.heartbeat(&message.Heartbeat{ID: id})
@@ -293,14 +300,14 @@
 	}
 }
 
-// TestFullDiskStops checks that a control instance whose disk fails acknowledges
-// nothing more.
-func TestFullDiskStops(t *testing.T) {
-	e := newEnsemble(t, 1)
-	c := e.leader()
-	e.disks[1].FailAfter(0, fake.ErrFull)
-	done := e.submit(c, create("r1", "logbook", "192.0.2.1:443"))
-	c.work()
+// TestFullDiskAcknowledgesNothing checks that a control instance whose disk is full
+// neither acknowledges nor applies a command.
+func TestFullDiskAcknowledgesNothing(t *testing.T) {
+	tc := newTestCluster(t, 1)
+	c := tc.leader()
+	tc.disks[1].FailAfter(0, fake.ErrFull)
+	done := tc.beginCommand(c, create("r1", "logbook", "192.0.2.1:443"))
+	c.runLeader()
 	require.ErrorIs(t, c.handleReady(), fake.ErrFull)
 	require.Empty(t, done)
 	require.Empty(t, c.state.Services)
--- a/control/core/document.go
+++ b/control/core/document.go
@@ -10,29 +10,31 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-// Snapshot is what anyone may read of a core without waiting for it.
+// Snapshot is the part of a core's state that can be read without waiting for its
+// goroutine.
 type Snapshot struct {
 	// Document is the document at the applied index, nil before the first.
 	Document *catkinrail.Document
 	// Applied is the index of the last entry that was applied.
 	Applied uint64
 	Members *quorum.Members
-	Node    quorum.NodeID
-	// Leader is the leader that is known, or zero.
+	// Node is this instance.
+	Node quorum.NodeID
+	// Leader is the leader of the term, or zero if it isn't known.
 	Leader quorum.NodeID
 	Term   uint64
 }
 
-// publish makes the present state visible to Snapshot.
+// publish makes the current state available to Snapshot and Synced.
 func (c *Core) publish() {
-	// The snapshot that a time of synchronisation speaks of must be out first.
+	// Synced must not run ahead of the snapshot, so its time is stored last.
 	defer c.synced.Store(c.node.Synced())
 	old := c.published.Load()
 	if old != nil && old.Applied == c.node.Applied() && old.Leader == c.node.LeaderID() &&
-		old.Term == c.node.Term() && c.membersSeen == c.node.MembersIndex() {
+		old.Term == c.node.Term() && c.publishedMembersIndex == c.node.MembersIndex() {
 		return
 	}
-	c.membersSeen = c.node.MembersIndex()
+	c.publishedMembersIndex = c.node.MembersIndex()
 	s := &Snapshot{
 		Document: c.state.Document, Applied: c.node.Applied(), Members: c.node.Members(),
 		Node: c.node.ID(), Leader: c.node.LeaderID(), Term: c.node.Term(),
@@ -44,7 +46,7 @@
 	close(*c.advanced.Swap(newSignal()))
 }
 
-// logChange logs what this instance believes anew.
+// logChange logs a change of the leader, the document or the members.
 func (c *Core) logChange(old, s *Snapshot) {
 	if old.Leader != s.Leader || old.Term != s.Term {
 		c.cfg.Log.Info().Uint64("term", s.Term).Str("leader", s.Members.Nodes[s.Leader].Name).
@@ -66,31 +68,32 @@
 	return &ch
 }
 
-// Snapshot returns the state that was applied last. It never waits, also while
-// the disk holds the core up.
+// Snapshot returns the latest published state. It never blocks, even while the
+// core waits for its disk.
 func (c *Core) Snapshot() *Snapshot {
 	return c.published.Load()
 }
 
-// Advanced returns a channel that is closed when the next snapshot is there.
+// Advanced returns a channel that is closed when the next snapshot is published.
 func (c *Core) Advanced() <-chan struct{} {
 	return *c.advanced.Load()
 }
 
-// Synced returns when this instance last knew all that its leader had committed,
-// in nanoseconds of the clock; zero if it never did since its start.
+// Synced returns the time at which this instance last had everything that its
+// leader had committed, in nanoseconds of the clock; zero if there was no such
+// time since its start.
 func (c *Core) Synced() int64 {
 	return c.synced.Load()
 }
 
-// PutDocument proposes a document, on the leader. A document that is not newer
-// than the one in force changes nothing.
+// PutDocument proposes a document on the leader and waits until it is applied. A
+// document that is not newer than the one in force changes nothing.
 func (c *Core) PutDocument(ctx context.Context, d *catkinrail.Document) error {
 	_, err := c.Submit(ctx, putDocument(d))
 	return err
 }
 
-// putDocument returns what putting the document changes.
+// putDocument returns the evaluate function of a proposal that puts the document.
 func putDocument(d *catkinrail.Document) func(*cluster.State) ([]cluster.Event, *cluster.Answer, error) {
 	return func(s *cluster.State) ([]cluster.Event, *cluster.Answer, error) {
 		if s.Document != nil && s.Document.Version >= d.Version {
@@ -100,16 +103,17 @@
 	}
 }
 
-// pendingRead is a read that waits for its proof.
+// pendingRead is a read that waits for a majority to confirm the leader.
 type pendingRead struct {
+	// mark and term identify the read to the node.
 	mark int64
 	term uint64
 	done chan error
 }
 
-// ReadIndex returns, on the leader, the index that a read must wait for. It
-// proves by answers of a majority that no later leader had been elected when
-// the call began.
+// ReadIndex returns, on the leader, the index that must be applied before a read
+// is answered. It waits for answers from a majority, which show that no later
+// leader had been elected when the call began.
 func (c *Core) ReadIndex(ctx context.Context) (uint64, error) {
 	done := make(chan error, 1)
 	var index uint64
@@ -126,7 +130,8 @@
 	}
 }
 
-// beginRead begins a read and returns the index that it must wait for.
+// beginRead begins a read and returns the index that must be applied before it is
+// answered. done receives nil once a majority has confirmed the leader.
 func (c *Core) beginRead(done chan error) uint64 {
 	mark, index, err := c.node.BeginRead(c.now())
 	if err != nil {
@@ -137,7 +142,8 @@
 	return index
 }
 
-// confirmReads answers the reads whose proof has come.
+// confirmReads finishes the reads that a majority has confirmed, and fails those
+// that began before this instance lost the lead.
 func (c *Core) confirmReads() {
 	c.reads = slices.DeleteFunc(c.reads, func(r pendingRead) bool {
 		switch {
@@ -152,9 +158,9 @@
 	})
 }
 
-// evictSilent removes, on the leader, a voter that has not answered for long, so
-// that instances that never come back don't weaken the quorum for ever. One
-// that does come back joins again.
+// evictSilent removes, on the leader, a member that has not answered for
+// EvictAfter, so that an instance that is lost doesn't count towards the quorum
+// for ever. An instance that comes back joins again.
 func (c *Core) evictSilent() {
 	if c.cfg.EvictAfter <= 0 || !c.leader.active {
 		return
@@ -173,7 +179,7 @@
 			return
 		}
 		c.cfg.Log.Info().Str("member", m.Nodes[id].Name).Uint64("node", uint64(id)).
-			Int64("silent-ms", silent/1e6).Err(err).Msg("silent member removed")
+			Int64("silent-ms", silent/1e6).Err(err).Msg("removing silent member")
 		return
 	}
 }
--- a/control/core/document_test.go
+++ b/control/core/document_test.go
@@ -15,21 +15,24 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
+// noLease is the default timing without leases.
 var noLease = quorum.Timing{Heartbeat: quorum.DefaultTiming.Heartbeat, Election: quorum.DefaultTiming.Election, NoLease: true}
 
 func doc(version uint64, source string) *catkinrail.Document {
 	return &catkinrail.Document{Version: version, Source: []byte(source)}
 }
 
-// put begins to put a document at a core and returns where the result will come.
-func (e *ensemble) put(c *Core, d *catkinrail.Document) chan Result {
+// beginPut submits a document to a core and returns the channel that receives the
+// result.
+func (tc *testCluster) beginPut(c *Core, d *catkinrail.Document) chan Result {
 	done := make(chan Result, 1)
 	c.pending = append(c.pending, &proposal{done: done, evaluate: putDocument(d)})
 	return done
 }
 
-// read begins a read at a core.
-func (e *ensemble) read(c *Core) (index uint64, done chan error) {
+// beginRead begins a read at a core and returns its index and the channel that
+// receives the confirmation.
+func (tc *testCluster) beginRead(c *Core) (index uint64, done chan error) {
 	done = make(chan error, 1)
 	return c.beginRead(done), done
 }
@@ -43,142 +46,145 @@
 		{"one", []*catkinrail.Document{doc(3, "a")}, "a"},
 		{"higher", []*catkinrail.Document{doc(3, "a"), doc(9, "b")}, "b"},
 		{"lower is acknowledged and changes nothing", []*catkinrail.Document{doc(9, "b"), doc(3, "a")}, "b"},
-		{"again", []*catkinrail.Document{doc(3, "a"), doc(3, "a")}, "a"},
+		{"same document again", []*catkinrail.Document{doc(3, "a"), doc(3, "a")}, "a"},
 		{"other content under the version in force", []*catkinrail.Document{doc(3, "a"), doc(3, "b")}, "a"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			e := newEnsembleWith(t, 3, noLease, 0)
+			tc := newTestClusterWith(t, 3, noLease, 0)
 			for _, d := range tt.list {
-				done := e.put(e.leader(), d)
-				e.run(200 * time.Millisecond)
+				done := tc.beginPut(tc.leader(), d)
+				tc.run(200 * time.Millisecond)
 				require.NoError(t, (<-done).Err)
 			}
-			for _, c := range e.cores {
+			for _, c := range tc.cores {
 				require.Equal(t, tt.want, string(c.Snapshot().Document.Source))
 			}
 		})
 	}
 }
 
-// TestRaceOfTwoOperators sends two documents of one version at once. Both are
-// acknowledged and one of them is in force everywhere.
-func TestRaceOfTwoOperators(t *testing.T) {
-	e := newEnsembleWith(t, 4, noLease, 0)
-	first, second := e.put(e.leader(), doc(5, "a")), e.put(e.leader(), doc(5, "b"))
-	e.run(200 * time.Millisecond)
+// TestConcurrentPutsOfOneVersion submits two documents with the same version at
+// once. Both are acknowledged, and the first is in force on every instance.
+func TestConcurrentPutsOfOneVersion(t *testing.T) {
+	tc := newTestClusterWith(t, 4, noLease, 0)
+	first, second := tc.beginPut(tc.leader(), doc(5, "a")), tc.beginPut(tc.leader(), doc(5, "b"))
+	tc.run(200 * time.Millisecond)
 	require.NoError(t, (<-first).Err)
 	require.NoError(t, (<-second).Err)
-	for _, c := range e.cores {
+	for _, c := range tc.cores {
 		require.Equal(t, "a", string(c.Snapshot().Document.Source))
 	}
 }
 
-// TestReadNeedsAMajority cuts a leader off in silence while it still holds the
-// lead by its own clock. A read that begins then must not be answered.
-func TestReadNeedsAMajority(t *testing.T) {
-	e := newEnsembleWith(t, 3, noLease, 0)
-	old := e.leader()
-	_, done := e.read(old)
-	e.run(100 * time.Millisecond)
+// TestReadNeedsMajority partitions a leader that doesn't know yet that it lost the
+// others. A read that begins then must not be confirmed.
+func TestReadNeedsMajority(t *testing.T) {
+	tc := newTestClusterWith(t, 3, noLease, 0)
+	old := tc.leader()
+	_, done := tc.beginRead(old)
+	tc.run(100 * time.Millisecond)
 	require.NoError(t, <-done)
 
-	for id := range e.cores {
-		e.down[id] = id != old.cfg.ID
+	for id := range tc.cores {
+		tc.down[id] = id != old.cfg.ID
 	}
-	_, stale := e.read(old)
-	e.run(100 * time.Millisecond)
-	require.True(t, old.leader.active, "it still believes that it leads")
+	_, stale := tc.beginRead(old)
+	tc.run(100 * time.Millisecond)
+	require.True(t, old.leader.active, "the partitioned leader has not stepped down yet")
 	require.Empty(t, stale)
-	e.run(2 * time.Second)
+	tc.run(2 * time.Second)
 	require.ErrorIs(t, <-stale, ErrNotLeader)
 }
 
-func TestReadSeesWhatWasAcknowledgedBefore(t *testing.T) {
-	e := newEnsembleWith(t, 3, noLease, 0)
-	done := e.put(e.leader(), doc(5, "a"))
-	e.run(200 * time.Millisecond)
+func TestReadSeesAcknowledgedWrite(t *testing.T) {
+	tc := newTestClusterWith(t, 3, noLease, 0)
+	done := tc.beginPut(tc.leader(), doc(5, "a"))
+	tc.run(200 * time.Millisecond)
 	require.NoError(t, (<-done).Err)
-	index, proved := e.read(e.leader())
-	e.run(100 * time.Millisecond)
-	require.NoError(t, <-proved)
-	for _, c := range e.cores {
+	index, confirmed := tc.beginRead(tc.leader())
+	tc.run(100 * time.Millisecond)
+	require.NoError(t, <-confirmed)
+	for _, c := range tc.cores {
 		require.GreaterOrEqual(t, c.Snapshot().Applied, index)
 	}
 }
 
-// TestFullDiskRecovers fills a disk and empties it again. The instance takes no
-// part meanwhile and loses nothing that it had.
+// TestFullDiskRecovers fills a disk and then frees space. Meanwhile the instance
+// acknowledges nothing, and it keeps what it had acknowledged before.
 func TestFullDiskRecovers(t *testing.T) {
-	e := newEnsembleWith(t, 1, noLease, 0)
-	c := e.leader()
-	done := e.put(c, doc(5, "a"))
-	e.run(200 * time.Millisecond)
+	tc := newTestClusterWith(t, 1, noLease, 0)
+	c := tc.leader()
+	done := tc.beginPut(c, doc(5, "a"))
+	tc.run(200 * time.Millisecond)
 	require.NoError(t, (<-done).Err)
 
-	e.disks[1].FailAfter(0, fake.ErrFull)
-	refused := e.put(c, doc(6, "b"))
-	c.work()
+	tc.disks[1].FailAfter(0, fake.ErrFull)
+	refused := tc.beginPut(c, doc(6, "b"))
+	c.runLeader()
 	require.ErrorIs(t, c.handleReady(), fake.ErrFull)
-	c.failWaiting()
+	c.failRequests()
 	require.ErrorIs(t, (<-refused).Err, ErrUnknown)
 	require.Error(t, c.reopen(), "the disk is still full")
 
-	e.disks[1].FailAfter(-1, nil)
+	tc.disks[1].FailAfter(-1, nil)
 	require.NoError(t, c.reopen())
-	e.run(time.Second)
+	tc.run(time.Second)
 	require.Equal(t, uint64(5), c.Snapshot().Document.Version)
-	done = e.put(c, doc(7, "c"))
-	e.run(200 * time.Millisecond)
+	done = tc.beginPut(c, doc(7, "c"))
+	tc.run(200 * time.Millisecond)
 	require.NoError(t, (<-done).Err)
 }
 
-// TestNotCurrentUntilCaughtUp restarts an instance that missed documents: it may
-// not tell anyone its old one as the newest.
-func TestNotCurrentUntilCaughtUp(t *testing.T) {
-	e := newEnsembleWith(t, 3, noLease, 0)
-	behind := e.leader().cfg.ID%3 + 1
-	e.crash(behind)
-	done := e.put(e.leader(), doc(5, "a"))
-	e.run(200 * time.Millisecond)
+// TestNotSyncedUntilCaughtUp restarts an instance that missed a document. It must
+// not count as synced while it still has the old one, or it would be given out as
+// current.
+func TestNotSyncedUntilCaughtUp(t *testing.T) {
+	tc := newTestClusterWith(t, 3, noLease, 0)
+	behind := tc.leader().cfg.ID%3 + 1
+	tc.crash(behind)
+	done := tc.beginPut(tc.leader(), doc(5, "a"))
+	tc.run(200 * time.Millisecond)
 	require.NoError(t, (<-done).Err)
-	e.start(behind)
-	c := e.cores[behind]
+	tc.start(behind)
+	c := tc.cores[behind]
 	for c.Synced() == 0 {
-		e.run(10 * time.Millisecond)
+		tc.run(10 * time.Millisecond)
 	}
 	require.Equal(t, uint64(5), c.Snapshot().Document.Version)
 }
 
-// join adds an instance with an empty disk under the name and address of place.
-func (e *ensemble) join(id quorum.NodeID, place int) *message.JoinRequest {
-	e.disks[id] = fake.NewDisk()
-	e.n = max(e.n, int(id))
-	e.start(id)
+// addInstance starts an instance with an empty disk under the name and address of
+// place and returns its request to join.
+func (tc *testCluster) addInstance(id quorum.NodeID, place int) *message.JoinRequest {
+	tc.disks[id] = fake.NewDisk()
+	tc.n = max(tc.n, int(id))
+	tc.start(id)
 	return &message.JoinRequest{Node: id, Peer: quorum.Peer{Name: fmt.Sprint("control-", place), Addr: fmt.Sprint("addr-", place)}}
 }
 
-// joined asks the leader until the instance has its vote.
-func (e *ensemble) joined(req *message.JoinRequest) {
+// awaitVote repeats the request at the leader until the instance is a voter.
+func (tc *testCluster) awaitVote(req *message.JoinRequest) {
 	for range 100 {
-		c := e.leader()
+		c := tc.leader()
 		if c != nil && c.joinStep(req) == nil {
 			return
 		}
-		e.run(50 * time.Millisecond)
+		tc.run(50 * time.Millisecond)
 	}
-	require.Fail(e.t, "instance did not get a vote")
+	require.Fail(tc.t, "instance did not become a voter")
 }
 
-// TestMajorityOfInstancesIsMajorityOfVoters replaces instances, on the same
-// address or for good, and then stops any of them as long as more than half of
-// those in use run. A leader must be there, and nothing acknowledged be lost.
-func TestMajorityOfInstancesIsMajorityOfVoters(t *testing.T) {
+// TestLeaderAfterReplacementsAndLosses replaces instances, at the same address or at
+// another, and then stops any of them while more than half of those in use still
+// run. Replaced instances must not count as voters any more: there must be a leader,
+// and no acknowledged document may be lost.
+func TestLeaderAfterReplacementsAndLosses(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(3, 16).Draw(rt, "instances")
 		const evict = 5 * time.Second
-		e := newEnsembleWith(t, n, noLease, evict)
-		// place gives the instance that is in use at each place.
+		tc := newTestClusterWith(t, n, noLease, evict)
+		// place gives the instance that is in use at each position.
 		place := map[int]quorum.NodeID{}
 		for i := 1; i <= n; i++ {
 			place[i] = quorum.NodeID(i)
@@ -187,26 +193,26 @@
 		next := n
 		for range rapid.IntRange(0, 3).Draw(rt, "replacements") {
 			i := rapid.IntRange(1, n).Draw(rt, "place")
-			e.down[place[i]] = true
-			e.run(2 * time.Second)
+			tc.down[place[i]] = true
+			tc.run(2 * time.Second)
 			next++
 			where := i
 			if rapid.Bool().Draw(rt, "another address") {
 				where = 100 + next
 			}
-			req := e.join(quorum.NodeID(next), where)
-			e.joined(req)
+			req := tc.addInstance(quorum.NodeID(next), where)
+			tc.awaitVote(req)
 			place[i] = quorum.NodeID(next)
 			version++
-			done := e.put(e.leader(), doc(version, "x"))
-			e.run(evict + 2*time.Second)
+			done := tc.beginPut(tc.leader(), doc(version, "x"))
+			tc.run(evict + 2*time.Second)
 			require.NoError(rt, (<-done).Err)
 		}
 		for range rapid.IntRange(0, (n-1)/2).Draw(rt, "losses") {
-			e.down[place[rapid.IntRange(1, n).Draw(rt, "lost")]] = true
+			tc.down[place[rapid.IntRange(1, n).Draw(rt, "lost")]] = true
 		}
-		e.run(3 * time.Second)
-		lead := e.leader()
+		tc.run(3 * time.Second)
+		lead := tc.leader()
 		require.NotNil(rt, lead)
 		if version > 0 {
 			require.Equal(rt, version, lead.Snapshot().Document.Version)
@@ -214,34 +220,36 @@
 	})
 }
 
-// TestSilentVoterIsRemovedAndComesBack keeps the quorum small while an instance
-// is away, and takes the instance in again with the disk that it had.
-func TestSilentVoterIsRemovedAndComesBack(t *testing.T) {
-	e := newEnsembleWith(t, 4, noLease, 5*time.Second)
-	away := e.leader().cfg.ID%4 + 1
-	e.down[away] = true
-	e.run(4 * time.Second)
-	require.Equal(t, 4, e.leader().Snapshot().Members.Voters())
-	e.run(2 * time.Second)
-	require.Equal(t, 3, e.leader().Snapshot().Members.Voters())
-	e.down[away] = false
+// TestSilentVoterRemovedAndRejoins checks that a voter that doesn't answer is removed
+// after EvictAfter, not earlier, and that it can join again with the disk that it
+// had.
+func TestSilentVoterRemovedAndRejoins(t *testing.T) {
+	tc := newTestClusterWith(t, 4, noLease, 5*time.Second)
+	away := tc.leader().cfg.ID%4 + 1
+	tc.down[away] = true
+	tc.run(4 * time.Second)
+	require.Equal(t, 4, tc.leader().Snapshot().Members.Voters())
+	tc.run(2 * time.Second)
+	require.Equal(t, 3, tc.leader().Snapshot().Members.Voters())
+	tc.down[away] = false
 	self := quorum.Peer{Name: fmt.Sprint("control-", away), Addr: fmt.Sprint("addr-", away)}
-	e.run(3 * time.Second)
-	require.False(t, e.cores[away].Joined(self), "it hears of no leader")
-	e.joined(&message.JoinRequest{Node: away, Peer: self})
-	e.run(time.Second)
-	require.True(t, e.cores[away].Joined(self))
-	require.Equal(t, 4, e.leader().Snapshot().Members.Voters())
+	tc.run(3 * time.Second)
+	require.False(t, tc.cores[away].Joined(self), "the removed instance has no contact with a leader")
+	tc.awaitVote(&message.JoinRequest{Node: away, Peer: self})
+	tc.run(time.Second)
+	require.True(t, tc.cores[away].Joined(self))
+	require.Equal(t, 4, tc.leader().Snapshot().Members.Voters())
 }
 
-// TestFollowerNamesTheLeader lets an instance with an empty disk find a leader that
-// is none of the seeds that it knows.
-func TestFollowerNamesTheLeader(t *testing.T) {
-	e := newEnsembleWith(t, 4, noLease, 0)
-	lead := e.leader()
-	other := e.cores[lead.cfg.ID%4+1]
+// TestFollowerRefersToLeader checks that a follower's reply to a request to join names
+// the leader, which an instance with an empty disk needs if its seeds don't include
+// the leader.
+func TestFollowerRefersToLeader(t *testing.T) {
+	tc := newTestClusterWith(t, 4, noLease, 0)
+	lead := tc.leader()
+	other := tc.cores[lead.cfg.ID%4+1]
 	req := &message.JoinRequest{Node: 9, Peer: quorum.Peer{Name: "new", Addr: "addr-9"}}
-	reply := other.answerJoin(req)
+	reply := other.handleJoin(req)
 	require.NoError(t, reply.err)
 	require.True(t, reply.Wait)
 	require.Equal(t, lead.cfg.ID, reply.Leader)
@@ -249,18 +257,18 @@
 	require.NotContains(t, lead.Snapshot().Members.Nodes, quorum.NodeID(9))
 }
 
-// TestMemberTellsItsAddresses changes how a voter is reached.
-func TestMemberTellsItsAddresses(t *testing.T) {
-	e := newEnsembleWith(t, 3, noLease, 0)
+// TestVoterAddressChange changes the name and addresses of a voter.
+func TestVoterAddressChange(t *testing.T) {
+	tc := newTestClusterWith(t, 3, noLease, 0)
 	self := quorum.Peer{Name: "core-2", Addr: "addr-2", Zone: "a", Public: "addr-2:80"}
-	require.False(t, e.cores[2].Joined(self))
-	e.joined(&message.JoinRequest{Node: 2, Peer: self})
-	e.run(200 * time.Millisecond)
-	require.True(t, e.cores[2].Joined(self))
-	require.Equal(t, 3, e.leader().Snapshot().Members.Voters())
+	require.False(t, tc.cores[2].Joined(self))
+	tc.awaitVote(&message.JoinRequest{Node: 2, Peer: self})
+	tc.run(200 * time.Millisecond)
+	require.True(t, tc.cores[2].Joined(self))
+	require.Equal(t, 3, tc.leader().Snapshot().Members.Voters())
 }
 
-func TestPackedChangesAreRead(t *testing.T) {
+func TestPackedChangeRoundTrip(t *testing.T) {
 	big := doc(1, string(make([]byte, 100_000)))
 	data, err := cluster.EncodePacked(&cluster.Change{Version: 1, Events: []cluster.Event{{DocumentPut: big}}})
 	require.NoError(t, err)
--- a/control/core/leader.go
+++ b/control/core/leader.go
@@ -14,44 +14,51 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-// Times after which a backend server that stays silent is taken out.
+// Timeouts and intervals of the leader.
 const (
-	// announceTimeout is the age of the last announcement from which a backend
-	// server gets no new flows.
+	// announceTimeout is the age of a backend server's last announcement from which
+	// it gets no new flows.
 	announceTimeout = 12 * time.Second
-	// forgetTimeout is the age from which its flows count as lost.
-	forgetTimeout = 10 * time.Minute
+	// expireTimeout is the age of a backend server's last announcement from which it
+	// counts as ended and its flows as lost.
+	expireTimeout = 10 * time.Minute
 	// imbalanceInterval is the time between two measurements of imbalance.
 	imbalanceInterval = 10 * time.Second
-	// leaseDriftShare is the part of a lease by which clock rates may deviate.
-	leaseDriftShare = 10
+	// leaseDriftDivisor allows for clocks that run at different rates: by the leader's
+	// clock, a lease may last longer by a part of 1/leaseDriftDivisor.
+	leaseDriftDivisor = 10
 )
 
-// leaderState is what only the leader knows. It begins anew with every term.
+// leaderState is what only the leader keeps. It is reset at the start of a term,
+// except for the meters. Times are in nanoseconds of the clock.
 type leaderState struct {
-	term    uint64
-	active  bool
-	planner *plan.Planner
-	members map[catkinrail.InstanceID]*entryState
-	// announced is the time of the last announcement of each backend server.
-	announced map[catkinrail.BackendID]int64
-	meters    map[catkinrail.ServiceID]*burn.Meter
-	opened    map[catkinrail.SlotID]uint64
-	measured  int64
-	planned   int64
+	term      uint64
+	active    bool
+	planner   *plan.Planner
+	instances map[catkinrail.InstanceID]*entryState
+	// announcedAt is the time of the last announcement of each backend server.
+	announcedAt map[catkinrail.BackendID]int64
+	meters      map[catkinrail.ServiceID]*burn.Meter
+	// openedFlows counts the flows opened on each slot since the last measurement of
+	// imbalance.
+	openedFlows map[catkinrail.SlotID]uint64
+	// measuredAt is the time of the last measurement of imbalance.
+	measuredAt int64
+	// plannedAt is the time of the last planning round.
+	plannedAt int64
 }
 
 // entryState is what the leader knows of an entry instance.
 type entryState struct {
-	// until is the time up to which the instance may hold a lease.
-	until int64
-	// current is the time at which the instance last had the latest version.
-	current int64
-	member  plan.Member
-	leaving bool
+	// leaseEnd is the time up to which the instance may hold a lease.
+	leaseEnd int64
+	// currentAt is the time at which the instance last had the latest version.
+	currentAt int64
+	member    plan.Member
+	leaving   bool
 }
 
-// update begins or ends the lead.
+// update sets whether this instance leads, and starts a term when it is new.
 func (l *leaderState) update(c *Core, now int64) {
 	if !c.node.Leading(now) {
 		l.active = false
@@ -59,54 +66,56 @@
 	}
 	l.active = true
 	if l.term != c.node.Term() {
-		l.begin(c, now)
+		l.startTerm(c, now)
 	}
 }
 
-// begin starts a term. An earlier leader may have granted leases until just now,
-// so every registered instance counts as holding one.
-func (l *leaderState) begin(c *Core, now int64) {
+// startTerm resets the state for a new term. An earlier leader may have granted
+// leases until just now, so every registered entry instance counts as holding one.
+func (l *leaderState) startTerm(c *Core, now int64) {
 	meters := l.meters
 	*l = leaderState{
 		term: c.node.Term(), active: true, planner: plan.NewPlanner(),
-		members:   map[catkinrail.InstanceID]*entryState{},
-		announced: map[catkinrail.BackendID]int64{},
-		meters:    meters,
-		opened:    map[catkinrail.SlotID]uint64{},
+		instances:   map[catkinrail.InstanceID]*entryState{},
+		announcedAt: map[catkinrail.BackendID]int64{},
+		meters:      meters,
+		openedFlows: map[catkinrail.SlotID]uint64{},
 	}
 	if l.meters == nil {
 		l.meters = map[catkinrail.ServiceID]*burn.Meter{}
 	}
 	for id := range c.state.Instances {
-		l.members[id] = &entryState{until: now + l.leaseSpan(c), current: now}
+		l.instances[id] = &entryState{leaseEnd: now + l.maxLease(c), currentAt: now}
 	}
 	for id := range c.state.Backends {
-		l.announced[id] = now
+		l.announcedAt[id] = now
 	}
-	c.cfg.Log.Info().Uint64("term", l.term).Uint64("version", c.state.Version).Msg("leading")
+	c.cfg.Log.Info().Uint64("term", l.term).Uint64("version", c.state.Version).Msg("became leader")
 }
 
-// leaseSpan is how long a lease may last by the leader's clock.
-func (l *leaderState) leaseSpan(c *Core) int64 {
-	return int64(c.cfg.Lease + c.cfg.Lease/leaseDriftShare)
+// maxLease returns the longest time, in nanoseconds of the leader's clock, for which
+// a lease granted now may be held.
+func (l *leaderState) maxLease(c *Core) int64 {
+	return int64(c.cfg.Lease + c.cfg.Lease/leaseDriftDivisor)
 }
 
-// plan proposes the next step of moves and views.
+// plan proposes the next step of moves and views, or else the changes for backend
+// servers whose announcements stopped.
 func (l *leaderState) plan(c *Core, now int64) {
-	l.measure(c, now)
-	if now-l.planned < int64(planInterval) || c.flying != nil {
+	l.measureImbalance(c, now)
+	if now-l.plannedAt < int64(planInterval) || c.inFlight != nil {
 		return
 	}
-	l.allowForStall(c, now)
-	l.planned = now
-	members := make(map[catkinrail.InstanceID]plan.Member, len(l.members))
-	for id, e := range l.members {
+	l.compensateStall(c, now)
+	l.plannedAt = now
+	members := make(map[catkinrail.InstanceID]plan.Member, len(l.instances))
+	for id, e := range l.instances {
 		if c.state.Instances[id] == nil {
-			delete(l.members, id)
+			delete(l.instances, id)
 			continue
 		}
 		m := e.member
-		m.Leased = now < e.until
+		m.Leased = now < e.leaseEnd
 		members[id] = m
 	}
 	l.planner.Observe(members)
@@ -119,53 +128,55 @@
 	}
 }
 
-// stallTime is the time between two calls of plan from which this instance was
-// held up, rather than the entry instances silent.
-const stallTime = 500 * time.Millisecond
+// stallThreshold is the time between two planning rounds from which this instance
+// counts as stalled, rather than the entry instances as silent.
+const stallThreshold = 500 * time.Millisecond
 
-// allowForStall extends what is known of others after this instance was held up:
-// their heartbeats may wait unread.
-func (l *leaderState) allowForStall(c *Core, now int64) {
-	if l.planned == 0 || now-l.planned < int64(stallTime) {
+// compensateStall extends leases and the times of announcements after this instance
+// was stalled: heartbeats may be queued that it has not processed.
+func (l *leaderState) compensateStall(c *Core, now int64) {
+	if l.plannedAt == 0 || now-l.plannedAt < int64(stallThreshold) {
 		return
 	}
-	held := now - l.planned
-	for _, e := range l.members {
-		e.until = max(e.until, now+l.leaseSpan(c))
+	stall := now - l.plannedAt
+	for _, e := range l.instances {
+		e.leaseEnd = max(e.leaseEnd, now+l.maxLease(c))
 	}
-	for id := range l.announced {
-		l.announced[id] += held
+	for id := range l.announcedAt {
+		l.announcedAt[id] += stall
 	}
 }
 
-// expire takes out backend servers that stopped announcing themselves. One that
-// is merely silent keeps its flows; it is forgotten much later.
+// expire returns the events for backend servers whose announcements stopped. After
+// announceTimeout a backend server gets no new flows but keeps its open ones; after
+// expireTimeout it is ended.
 func (l *leaderState) expire(c *Core, now int64) []cluster.Event {
-	var silent, lost []catkinrail.BackendID
+	var silent, expired []catkinrail.BackendID
 	for _, id := range cluster.SortedKeys(c.state.Backends) {
 		b := c.state.Backends[id]
-		at, ok := l.announced[id]
+		at, ok := l.announcedAt[id]
 		if !ok {
-			l.announced[id] = now
+			l.announcedAt[id] = now
 			continue
 		}
 		age := time.Duration(now - at)
 		switch {
 		case b.State == catkinrail.BackendGone:
-		case age > forgetTimeout:
-			lost = append(lost, id)
+		case age > expireTimeout:
+			expired = append(expired, id)
 		case age > announceTimeout && b.State == catkinrail.BackendActive:
 			silent = append(silent, id)
 		}
 	}
-	if len(lost) > 0 {
-		return plan.Expire(c.state, lost)
+	if len(expired) > 0 {
+		return plan.Expire(c.state, expired)
 	}
 	return plan.Silence(c.state, silent)
 }
 
-// Heartbeat takes an entry instance's report, renews its lease and returns what
-// it lacks. The channel is closed at the next change.
+// Heartbeat handles a heartbeat of an entry instance: it renews the lease and
+// returns the changes that the instance lacks. The channel is closed at the next
+// change.
 func (c *Core) Heartbeat(ctx context.Context, hb *message.Heartbeat) (*message.HeartbeatReply, <-chan struct{}, error) {
 	var reply *message.HeartbeatReply
 	var changed <-chan struct{}
@@ -183,29 +194,30 @@
 		return nil, c.leaderError()
 	}
 	if c.cfg.Timing.NoLease {
-		return nil, ErrNoLease
+		return nil, ErrLeasesDisabled
 	}
 	reply := &message.HeartbeatReply{Term: c.node.Term(), Lease: c.cfg.Lease}
 	if c.state.Instances[hb.ID] == nil {
 		reply.Unregistered = true
 		return reply, nil
 	}
-	c.leader.note(c, hb, now)
-	reply.Changes, reply.State = c.since(hb.Have)
+	c.leader.recordHeartbeat(c, hb, now)
+	reply.Changes, reply.State = c.changesSince(hb.Have)
 	return reply, nil
 }
 
-// note keeps what a heartbeat reports.
-func (l *leaderState) note(c *Core, hb *message.Heartbeat, now int64) {
-	e := l.members[hb.ID]
+// recordHeartbeat renews the sender's lease, records what the heartbeat reports and
+// queues the changes that follow from it.
+func (l *leaderState) recordHeartbeat(c *Core, hb *message.Heartbeat, now int64) {
+	e := l.instances[hb.ID]
 	if e == nil {
-		e = &entryState{current: now}
-		l.members[hb.ID] = e
+		e = &entryState{currentAt: now}
+		l.instances[hb.ID] = e
 	}
-	e.until = max(e.until, now+l.leaseSpan(c))
+	e.leaseEnd = max(e.leaseEnd, now+l.maxLease(c))
 	e.member = plan.Member{Version: hb.Have, Synced: hb.Synced, Busy: hb.Busy}
 	if hb.Have >= c.state.Version {
-		e.current = now
+		e.currentAt = now
 	}
 	if hb.Leaving && !e.leaving {
 		e.leaving = true
@@ -218,20 +230,22 @@
 		c.enqueue(func(s *cluster.State) []cluster.Event { return plan.Exceptions(s, id, buckets) })
 	}
 	for i := range hb.Announcements {
-		l.announce(c, &hb.Announcements[i], now)
+		l.recordAnnouncement(c, &hb.Announcements[i], now)
 	}
-	l.count(c, hb, now)
+	l.addCounts(c, hb, now)
 }
 
+// enqueue queues a proposal whose result nobody waits for.
 func (c *Core) enqueue(events func(*cluster.State) []cluster.Event) {
 	c.pending = append(c.pending, &proposal{evaluate: evaluatePlan(events)})
 }
 
-// announce notes that a backend server is there and proposes what is new.
-func (l *leaderState) announce(c *Core, a *plan.Announcement, now int64) {
+// recordAnnouncement records the time of an announcement and queues the changes that
+// it calls for.
+func (l *leaderState) recordAnnouncement(c *Core, a *plan.Announcement, now int64) {
 	if svc := c.state.ServiceByName(a.Service); svc != nil {
 		if b := c.state.BackendByName(svc.ID, a.Name); b != nil && b.Incarnation == a.Incarnation {
-			l.announced[b.ID] = now
+			l.announcedAt[b.ID] = now
 		}
 	}
 	events, err := plan.Announce(c.state, a)
@@ -251,8 +265,8 @@
 	})
 }
 
-// count adds an entry instance's counts to the meters.
-func (l *leaderState) count(c *Core, hb *message.Heartbeat, now int64) {
+// addCounts adds the flow counts of a heartbeat to the meters.
+func (l *leaderState) addCounts(c *Core, hb *message.Heartbeat, now int64) {
 	for id, n := range hb.Counts {
 		if c.state.Services[id] == nil {
 			continue
@@ -260,11 +274,12 @@
 		m := l.meter(id)
 		m.Add(time.Unix(0, now), burn.Counts{Flows: n.Opened, Broken: n.Unrecorded, Refused: n.Refused})
 		for slot, opened := range n.BySlot {
-			l.opened[slot] += opened
+			l.openedFlows[slot] += opened
 		}
 	}
 }
 
+// meter returns the service's meter, which it creates if there is none.
 func (l *leaderState) meter(id catkinrail.ServiceID) *burn.Meter {
 	m := l.meters[id]
 	if m == nil {
@@ -274,14 +289,15 @@
 	return m
 }
 
-// measure samples each service's imbalance from the flows that were opened.
-func (l *leaderState) measure(c *Core, now int64) {
-	if now-l.measured < int64(imbalanceInterval) {
+// measureImbalance samples each service's imbalance from the flows opened since the
+// last measurement.
+func (l *leaderState) measureImbalance(c *Core, now int64) {
+	if now-l.measuredAt < int64(imbalanceInterval) {
 		return
 	}
-	l.measured = now
+	l.measuredAt = now
 	for id, svc := range c.state.Services {
-		excess, ok := imbalance(c.state.BackendsOf(id), l.opened)
+		excess, ok := imbalance(c.state.BackendsOf(id), l.openedFlows)
 		if !ok {
 			continue
 		}
@@ -291,15 +307,16 @@
 		}
 		l.meter(id).Add(time.Unix(0, now), sample)
 	}
-	clear(l.opened)
+	clear(l.openedFlows)
 }
 
-// minFlows is the number of flows for each backend server below which chance
-// alone would dominate a sample of the imbalance.
-const minFlows = 50
+// minFlowsPerBackend is the mean number of flows opened per backend server below
+// which chance alone would dominate a sample of the imbalance.
+const minFlowsPerBackend = 50
 
-// imbalance returns the excess, in percent, of the most loaded backend server
-// over the mean, by weight.
+// imbalance returns by how many percent the most loaded active backend server
+// exceeds the mean, by flows opened per weight and slot. It returns false if there
+// are fewer than two backend servers or too few flows.
 func imbalance(backends []*catkinrail.Backend, opened map[catkinrail.SlotID]uint64) (float64, bool) {
 	var loads []float64
 	total, flows := 0.0, uint64(0)
@@ -316,16 +333,16 @@
 		loads = append(loads, load)
 		total += load
 	}
-	if len(loads) < 2 || flows < minFlows*uint64(len(loads)) {
+	if len(loads) < 2 || flows < minFlowsPerBackend*uint64(len(loads)) {
 		return 0, false
 	}
 	mean := total / float64(len(loads))
 	return (slices.Max(loads)/mean - 1) * 100, true
 }
 
-// since returns the changes after a version, or the whole state if they are no
-// longer known.
-func (c *Core) since(have uint64) ([]cluster.Change, *cluster.State) {
+// changesSince returns the changes after a version, or the whole state if some of
+// them are no longer kept.
+func (c *Core) changesSince(have uint64) ([]cluster.Change, *cluster.State) {
 	if have >= c.state.Version {
 		return nil, nil
 	}
@@ -334,23 +351,26 @@
 		return slices.Clone(c.changes[from:]), nil
 	}
 	s := *c.state
-	// Entry instances need no answers to operators.
+	// Entry instances don't need the answers to operators' requests.
 	s.Answers = nil
 	clone, err := s.Clone()
 	if err != nil {
-		c.cfg.Log.Error(catkinrail.At(err, "encode state", "")).Msg("entry instance gets no state")
+		c.cfg.Log.Error(catkinrail.At(err, "encode state", "")).Msg("state not sent to entry instance")
 		return nil, nil
 	}
 	return nil, clone
 }
 
-// Status is what operators see of a control instance.
+// Status is the status of a control instance as shown to operators.
 type Status struct {
 	Term, Commit uint64
-	Leader       string
-	Node         quorum.NodeID
-	Members      *quorum.Members
-	Match        map[quorum.NodeID]uint64
+	// Leader is the leader's name, empty if it isn't known.
+	Leader  string
+	Node    quorum.NodeID
+	Members *quorum.Members
+	// Match gives the last index of this instance's log and, on the leader, the index
+	// up to which the log of each other member is known to agree.
+	Match map[quorum.NodeID]uint64
 	// Leading is set on the leader.
 	Leading bool
 	Entries map[catkinrail.InstanceID]EntryStatus
@@ -361,7 +381,8 @@
 type EntryStatus struct {
 	Leased  bool
 	Version uint64
-	// Lag is the time since the instance was last up to date.
+	// Lag is the time since the instance last had the latest version; zero if it has
+	// it.
 	Lag time.Duration
 }
 
@@ -378,10 +399,10 @@
 		s.Match[id] = c.node.Match(id)
 	}
 	s.Match[c.node.ID()] = c.node.LastIndex()
-	for id, e := range c.leader.members {
-		status := EntryStatus{Leased: now < e.until, Version: e.member.Version}
+	for id, e := range c.leader.instances {
+		status := EntryStatus{Leased: now < e.leaseEnd, Version: e.member.Version}
 		if e.member.Version < c.state.Version {
-			status.Lag = time.Duration(now - e.current)
+			status.Lag = time.Duration(now - e.currentAt)
 		}
 		s.Entries[id] = status
 	}
--- a/control/core/members.go
+++ b/control/core/members.go
@@ -9,14 +9,15 @@
 	"catkinrail.example/catkinrail/coordination/quorum"
 )
 
-// ErrWait means that a change of members must be asked for again later.
-var ErrWait = errors.New("try again later")
+// ErrRetryLater means that a join needs further steps: the request must be sent
+// again later.
+var ErrRetryLater = errors.New("retry later")
 
-// promoteGap is the number of entries by which a learner may lag behind when it
-// gets its vote.
-const promoteGap = 16
+// maxPromotionLag is the number of entries by which a learner may lag behind when it
+// becomes a voter.
+const maxPromotionLag = 16
 
-// Greeting says who this instance is.
+// Greeting returns the identity of this instance and the index of its last entry.
 func (c *Core) Greeting(ctx context.Context) (*message.Greeting, error) {
 	g := &message.Greeting{}
 	err := c.do(ctx, func() {
@@ -25,40 +26,41 @@
 	return g, err
 }
 
-// memberTimeout is the time without a leader's message after which an instance
-// no longer counts on being a member: it may have been removed meanwhile. It
-// exceeds several elections.
+// memberTimeout is the time without being in sync with a leader after which an
+// instance no longer relies on being a member: it may have been removed meanwhile.
+// It is longer than several elections.
 const memberTimeout = 2 * time.Second
 
-// Joined reports whether this instance has a vote, is known by the given name and
-// addresses, and hears of a leader.
+// Joined reports whether this instance is a voter, is known by the given name and
+// addresses, and was in sync with a leader within memberTimeout.
 func (c *Core) Joined(self quorum.Peer) bool {
 	s := c.Snapshot()
 	return s.Members.Voter(s.Node) && s.Members.Nodes[s.Node] == self && c.now()-c.Synced() < int64(memberTimeout)
 }
 
-// Join takes one step towards a vote for an instance with a new disk: it becomes
-// a learner, an earlier member of its name or address is removed, and once it
-// has caught up it gets its vote. The reply names the members, which the
-// instance needs to answer them, and the leader, which may be none of the seeds;
-// an instance that doesn't lead answers with these alone.
+// Join takes one step towards a vote for an instance: it is added as a learner,
+// then an earlier member with its name or address is removed, and once it has caught
+// up it becomes a voter. A voter whose name or addresses changed is updated. The
+// reply holds the members, which the instance needs in order to answer their
+// messages, and the leader, which may be none of the instance's seeds. An instance
+// that doesn't lead replies with these alone.
 func (c *Core) Join(ctx context.Context, req *message.JoinRequest) (*message.JoinReply, error) {
-	var answer joinAnswer
-	err := c.do(ctx, func() { answer = c.answerJoin(req) })
+	var answer joinResult
+	err := c.do(ctx, func() { answer = c.handleJoin(req) })
 	return &answer.JoinReply, errors.Join(err, answer.err)
 }
 
-// joinAnswer is the answer to a request to join.
-type joinAnswer struct {
+// joinResult is the reply to a request to join, or its error.
+type joinResult struct {
 	message.JoinReply
 	err error
 }
 
-func (c *Core) answerJoin(req *message.JoinRequest) joinAnswer {
-	a := joinAnswer{JoinReply: message.JoinReply{Wait: true, Leader: c.node.LeaderID()}}
+func (c *Core) handleJoin(req *message.JoinRequest) joinResult {
+	a := joinResult{JoinReply: message.JoinReply{Wait: true, Leader: c.node.LeaderID()}}
 	if c.leader.active {
 		a.err = c.joinStep(req)
-		a.Wait = errors.Is(a.err, ErrWait)
+		a.Wait = errors.Is(a.err, ErrRetryLater)
 		if a.Wait {
 			a.err = nil
 		}
@@ -67,6 +69,8 @@
 	return a
 }
 
+// joinStep takes the next step of a join. It returns nil if nothing is left to do,
+// and ErrRetryLater if the request must be sent again.
 func (c *Core) joinStep(req *message.JoinRequest) error {
 	m := c.node.Members()
 	if m.Voter(req.Node) && m.Nodes[req.Node] == req.Peer {
@@ -79,28 +83,28 @@
 	case !m.Learners[req.Node]:
 		next.Nodes[req.Node] = req.Peer
 		next.Learners[req.Node] = true
-	case namesake(m, req) != 0:
-		old := namesake(m, req)
-		if m.Voter(old) && c.node.Match(req.Node)+promoteGap < c.node.LastIndex() {
-			return ErrWait
+	case memberToReplace(m, req) != 0:
+		old := memberToReplace(m, req)
+		if m.Voter(old) && c.node.Match(req.Node)+maxPromotionLag < c.node.LastIndex() {
+			return ErrRetryLater
 		}
 		delete(next.Nodes, old)
 		delete(next.Learners, old)
 	default:
-		if c.node.Match(req.Node)+promoteGap < c.node.LastIndex() {
-			return ErrWait
+		if c.node.Match(req.Node)+maxPromotionLag < c.node.LastIndex() {
+			return ErrRetryLater
 		}
 		delete(next.Learners, req.Node)
 	}
 	if err := c.node.ChangeMembers(next); err != nil && !errors.Is(err, quorum.ErrMembersChange) {
 		return err
 	}
-	return ErrWait
+	return ErrRetryLater
 }
 
-// namesake returns another member of the joining instance's name or address, or
-// zero.
-func namesake(m *quorum.Members, req *message.JoinRequest) quorum.NodeID {
+// memberToReplace returns another member with the joining instance's name or
+// address, or zero if there is none.
+func memberToReplace(m *quorum.Members, req *message.JoinRequest) quorum.NodeID {
 	for id, p := range m.Nodes {
 		if id != req.Node && (p.Name == req.Peer.Name || p.Addr == req.Peer.Addr) {
 			return id
--- a/control/core/recover.go
+++ b/control/core/recover.go
@@ -10,16 +10,16 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-// reopenInterval is the time between two attempts to open a journal whose disk
-// refused a write.
+// reopenInterval is the time between two attempts to reopen a journal after a
+// failure.
 const reopenInterval = 250 * time.Millisecond
 
-// begin starts from what is on disk.
-func (c *Core) begin() error {
+// startFromDisk sets the state and the node to what was read from disk.
+func (c *Core) startFromDisk() error {
 	state := cluster.New()
 	if data := c.cfg.Stored.Snapshot.Data; len(data) > 0 {
 		if err := cluster.Decode(data, state); err != nil {
-			return catkinrail.At(err, "read snapshot", "")
+			return catkinrail.At(err, "decode stored snapshot", "")
 		}
 	}
 	c.state = state
@@ -30,15 +30,15 @@
 	return nil
 }
 
-// recover starts the core again from its disk after a write failed: what the
-// disk holds since then is unknown, so nothing may depend on it. Meanwhile this
-// instance takes no part in the quorum.
+// recover reopens the journal after a failure and restarts the core from it: what
+// the disk holds after a failed write is unknown until it is read back. Meanwhile
+// this instance takes no part in the quorum and fails proposals and reads.
 func (c *Core) recover(ctx context.Context, cause error) error {
 	if c.cfg.Reopen == nil {
 		return cause
 	}
-	c.cfg.Log.Error(cause).Msg("journal failed")
-	c.failWaiting()
+	c.cfg.Log.Error(cause).Msg("journal write or apply failed; reopening journal")
+	c.failRequests()
 	t := time.NewTicker(reopenInterval)
 	defer t.Stop()
 	for attempt := 1; ; attempt++ {
@@ -47,28 +47,28 @@
 			return nil
 		case f := <-c.inbox:
 			f()
-			c.failWaiting()
+			c.failRequests()
 			continue
 		case <-t.C:
 		}
 		err := c.reopen()
 		if err == nil {
-			c.cfg.Log.Info().Int("attempts", attempt).Msg("journal opened again")
+			c.cfg.Log.Info().Int("attempts", attempt).Msg("journal reopened")
 			return nil
 		}
-		c.cfg.Log.Debug().Err(err).Msg("journal not opened")
+		c.cfg.Log.Debug().Err(err).Msg("journal could not be reopened")
 	}
 }
 
-// failWaiting answers all who wait for the core.
-func (c *Core) failWaiting() {
+// failRequests fails all pending proposals and reads and the proposal in flight.
+func (c *Core) failRequests() {
 	for _, p := range c.pending {
 		p.finish(Result{Err: c.leaderError()})
 	}
 	c.pending = nil
-	if c.flying != nil {
-		c.flying.finish(Result{Err: ErrUnknown})
-		c.flying = nil
+	if c.inFlight != nil {
+		c.inFlight.finish(Result{Err: ErrUnknown})
+		c.inFlight = nil
 	}
 	for _, r := range c.reads {
 		r.done <- c.leaderError()
@@ -83,5 +83,5 @@
 		return errors.Join(err, openErr)
 	}
 	c.cfg.Journal, c.cfg.Stored = j, stored
-	return c.begin()
+	return c.startFromDisk()
 }
--- a/control/core/watch.go
+++ b/control/core/watch.go
@@ -7,7 +7,8 @@
 )
 
 // Watch calls f with each change that this instance applies from now on, until
-// ctx ends or f fails. A watcher that falls far behind misses changes.
+// ctx ends or f fails. It skips changes that are no longer kept when it reaches
+// them, or that this instance got as part of a snapshot.
 func (c *Core) Watch(ctx context.Context, f func(*cluster.Change) error) error {
 	var have uint64
 	if err := c.do(ctx, func() { have = c.state.Version }); err != nil {
