--- a/control/document/store.go
+++ b/control/document/store.go
@@ -1,6 +1,6 @@
-// Package document puts and reads the operators' document at whichever control
-// instance a call reaches: it asks the leader and answers from what this
-// instance has applied.
+// Package document stores and reads the operators' document at any control
+// instance. Puts are forwarded to the leader. Reads ask the leader for the commit
+// index and are answered by this instance once it has applied that index.
 package document
 
 import (
@@ -20,12 +20,12 @@
 	"catkinrail.example/catkinrail/transport/rpc"
 )
 
-// Timing of calls to the leader.
+// Timeout and interval of calls to the leader.
 const (
-	// attemptTimeout bounds one call; an election takes about as long.
+	// attemptTimeout limits one call. An election takes about as long.
 	attemptTimeout = 600 * time.Millisecond
-	// retryPause is the time between two attempts.
-	retryPause = 20 * time.Millisecond
+	// retryInterval is the longest time between two attempts.
+	retryInterval = 20 * time.Millisecond
 )
 
 // errNoLeader means that no leader is known.
@@ -36,7 +36,7 @@
 	core    *core.Core
 	clients *rpc.Pool
 	clock   catkinrail.Clock
-	// puts and reads are the times that calls took.
+	// puts and reads record the durations of calls, in nanoseconds.
 	puts, reads metrics.Histogram
 }
 
@@ -50,16 +50,16 @@
 	}
 }
 
-// record notes the time since a call began.
-func (s *Store) record(h metrics.Histogram, began time.Time) {
+// observe records the duration of a call that began at the given time.
+func (s *Store) observe(h metrics.Histogram, began time.Time) {
 	h.Update(int64(s.clock.Now().Sub(began)))
 }
 
-// PutDocument implements catkinrail.DocumentStore. It asks again until ctx ends:
-// a document of one version takes effect once at most.
+// PutDocument implements catkinrail.DocumentStore. It retries until ctx ends, which
+// is safe because a version takes effect at most once.
 func (s *Store) PutDocument(ctx context.Context, d *catkinrail.Document) error {
-	defer s.record(s.puts, s.clock.Now())
-	var last error
+	defer s.observe(s.puts, s.clock.Now())
+	var lastErr error
 	for {
 		c := s.core
 		snap := c.Snapshot()
@@ -68,15 +68,16 @@
 		}
 		if err := s.put(ctx, c, snap, d); err == nil {
 			return nil
-		} else if !errors.Is(err, context.DeadlineExceeded) || last == nil {
-			last = err
+		} else if !errors.Is(err, context.DeadlineExceeded) || lastErr == nil {
+			lastErr = err
 		}
-		if !pause(ctx, c.Advanced()) {
-			return errors.Join(catkinrail.ErrUnavailable, last)
+		if !awaitRetry(ctx, c.Advanced()) {
+			return errors.Join(catkinrail.ErrUnavailable, lastErr)
 		}
 	}
 }
 
+// put makes one attempt to have the leader put the document.
 func (s *Store) put(ctx context.Context, c *core.Core, snap *core.Snapshot, d *catkinrail.Document) error {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
@@ -87,7 +88,7 @@
 	if !ok {
 		return errNoLeader
 	}
-	// The change is packed as in the log.
+	// The body is encoded as changes in the log are.
 	body, err := cluster.EncodePacked(&cluster.Change{Events: []cluster.Event{{DocumentPut: d}}})
 	if err != nil {
 		return err
@@ -98,23 +99,24 @@
 	})
 }
 
-// CurrentDocument implements catkinrail.DocumentStore.
+// CurrentDocument implements catkinrail.DocumentStore. It retries until ctx ends.
 func (s *Store) CurrentDocument(ctx context.Context) (*catkinrail.Document, error) {
-	defer s.record(s.reads, s.clock.Now())
-	var last error
+	defer s.observe(s.reads, s.clock.Now())
+	var lastErr error
 	for {
 		c := s.core
 		index, err := s.readIndex(ctx, c)
 		if err == nil {
-			return s.await(ctx, c, index)
+			return s.awaitApplied(ctx, c, index)
 		}
-		last = err
-		if !pause(ctx, c.Advanced()) {
-			return nil, errors.Join(catkinrail.ErrUnavailable, last)
+		lastErr = err
+		if !awaitRetry(ctx, c.Advanced()) {
+			return nil, errors.Join(catkinrail.ErrUnavailable, lastErr)
 		}
 	}
 }
 
+// readIndex makes one attempt to get the index for a read from the leader.
 func (s *Store) readIndex(ctx context.Context, c *core.Core) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
@@ -137,8 +139,9 @@
 	return mark.Index, err
 }
 
-// await returns the document once the index is applied here.
-func (s *Store) await(ctx context.Context, c *core.Core, index uint64) (*catkinrail.Document, error) {
+// awaitApplied waits until this instance has applied the index and returns the
+// document.
+func (s *Store) awaitApplied(ctx context.Context, c *core.Core, index uint64) (*catkinrail.Document, error) {
 	for {
 		advanced := c.Advanced()
 		if snap := c.Snapshot(); snap.Applied >= index {
@@ -152,10 +155,10 @@
 	}
 }
 
-// pause waits until another attempt may go better. It returns false once ctx has
-// ended.
-func pause(ctx context.Context, advanced <-chan struct{}) bool {
-	t := time.NewTimer(retryPause)
+// awaitRetry waits for the next snapshot or for retryInterval, and returns false if
+// ctx has ended.
+func awaitRetry(ctx context.Context, advanced <-chan struct{}) bool {
+	t := time.NewTimer(retryInterval)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
--- a/control/document/store_test.go
+++ b/control/document/store_test.go
@@ -27,22 +27,22 @@
 	"catkinrail.example/catkinrail/transport/rpc"
 )
 
-// instance is a control instance on loopback.
+// instance is a control instance that listens on the loopback address.
 type instance struct {
 	store  *document.Store
 	cancel context.CancelFunc
 	group  errgroup.Group
 }
 
-// stop ends the instance and waits until it can answer nobody any more.
+// stop stops the instance and waits until it answers no more calls.
 func (in *instance) stop(t *testing.T) {
 	t.Helper()
 	in.cancel()
 	require.NoError(t, in.group.Wait())
 }
 
-// start starts instances that know each other, on disks in memory.
-func start(t *testing.T, n int) []*instance {
+// startInstances starts a cluster of n instances with in-memory disks.
+func startInstances(t *testing.T, n int) []*instance {
 	t.Helper()
 	clk := clock.New()
 	members := quorum.Members{Nodes: map[quorum.NodeID]quorum.Peer{}}
@@ -84,8 +84,8 @@
 	return list
 }
 
-func TestAnyInstanceTakesAndReadsDocuments(t *testing.T) {
-	list := start(t, 3)
+func TestDocumentsThroughAnyInstance(t *testing.T) {
+	list := startInstances(t, 3)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	d, err := list[0].store.CurrentDocument(ctx)
@@ -100,17 +100,17 @@
 			require.Equal(t, []byte{byte(i)}, d.Source)
 		}
 	}
-	// A version that is overtaken is acknowledged.
+	// A document older than the one in force is acknowledged and changes nothing.
 	require.NoError(t, list[1].store.PutDocument(ctx, &catkinrail.Document{Version: 1, Source: []byte("x")}))
 	d, err = list[2].store.CurrentDocument(ctx)
 	require.NoError(t, err)
 	require.Equal(t, uint64(3), d.Version)
 }
 
-// TestNoAnswerWithoutAMajority stops two of three instances. The third neither
-// takes a document nor reads one, and says so.
-func TestNoAnswerWithoutAMajority(t *testing.T) {
-	list := start(t, 3)
+// TestUnavailableWithoutMajority stops two of three instances. Puts and reads at the
+// third must fail with ErrUnavailable.
+func TestUnavailableWithoutMajority(t *testing.T) {
+	list := startInstances(t, 3)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	require.NoError(t, list[0].store.PutDocument(ctx, &catkinrail.Document{Version: 1}))
