--- a/coordination/token/engine.go
+++ b/coordination/token/engine.go
@@ -1,7 +1,7 @@
 // Package token routes packets by the token that they carry: any entry instance
 // can forward any packet of an open flow without having seen the flow before.
-// Only the opening packets of a flow call for a choice. It is pure step logic;
-// times are passed in.
+// Only the opening packets of a flow need a placement decision. The package does
+// no I/O and reads no clock; callers pass in packets and times.
 package token
 
 import (
@@ -18,9 +18,9 @@
 
 // Actions.
 const (
-	// Drop means that the packet goes nowhere; the sender repeats it.
+	// Drop means that the packet is discarded; its sender retransmits it.
 	Drop Action = iota
-	// Forward means that the packet goes to the verdict's backend server.
+	// Forward means that the packet is sent to the verdict's backend server.
 	Forward
 	// Refuse means that the caller is told at once that the flow doesn't exist.
 	Refuse
@@ -31,35 +31,37 @@
 	return [...]string{"drop", "forward", "refuse"}[a]
 }
 
-// Reason says why a packet was dropped, refused or sent where it was.
+// Reason is why a packet was dropped, refused or forwarded.
 type Reason uint8
 
 // Reasons.
 const (
-	// ReasonPlaced is a new flow on the best backend server.
+	// ReasonPlaced is a new flow that was placed on the best backend server.
 	ReasonPlaced Reason = iota
-	// ReasonCopy is a copy of an opening packet to the same backend server.
+	// ReasonCopy is a retransmitted opening packet that went to the same backend
+	// server as before.
 	ReasonCopy
-	// ReasonNext is a copy of an opening packet to another backend server,
-	// because the first left it unanswered.
+	// ReasonNext is a retransmitted opening packet that went to another backend
+	// server, because the previous one had not answered.
 	ReasonNext
-	// ReasonToken is a packet that its token brings to its backend server.
+	// ReasonToken is a packet that was forwarded by its token.
 	ReasonToken
-	// ReasonNoRoute is an endpoint that the document doesn't have.
+	// ReasonNoRoute is a new flow to an endpoint that the document doesn't list.
 	ReasonNoRoute
-	// ReasonStale is an endpoint or a backend server that isn't known, while what
-	// is known may not be the newest.
+	// ReasonStale is a new flow without a known endpoint or backend server, while
+	// the document and the list of backend servers may be out of date.
 	ReasonStale
-	// ReasonNoBackend is a service without a backend server that takes new flows.
+	// ReasonNoBackend is a new flow to a service without a backend server that takes
+	// new flows.
 	ReasonNoBackend
-	// ReasonUnknownToken is a token of no known backend server.
+	// ReasonUnknownToken is a packet whose token belongs to no known backend server.
 	ReasonUnknownToken
-	// ReasonGone is a token of a backend server whose life has ended, its flows
-	// with it.
+	// ReasonGone is a packet whose token belongs to an incarnation that has ended,
+	// and its flows with it.
 	ReasonGone
-	// ReasonNoDocument is a packet before the first document.
+	// ReasonNoDocument is a packet received before the first document.
 	ReasonNoDocument
-	// ReasonOverload is a new flow while this instance can't keep up.
+	// ReasonOverload is a new flow that was shed because this instance is overloaded.
 	ReasonOverload
 	numReasons
 )
@@ -93,96 +95,98 @@
 	Backend *Backend
 }
 
-// Timing of decisions.
+// Timeouts and their parameters.
 const (
-	// copyGap is the time since an opening packet was passed on from which a copy
-	// means that it was left unanswered. Callers send the first copy after 200 ms;
-	// copies that waited here together come closer to each other.
-	copyGap = 120 * time.Millisecond
-	// currentSpan is the time since the last word of control for which the
-	// document counts as current: twice the longest pause between two updates.
-	currentSpan = time.Second
-	// flowTimeout is the time without a packet after which a flow is forgotten
-	// here. Its packets still go by their token.
-	flowTimeout = 20 * time.Second
+	// retransmitGap is the time after an opening packet was forwarded from which a
+	// copy shows that it was left unanswered. Callers retransmit after 200 ms;
+	// copies that were queued here together are closer to each other.
+	retransmitGap = 120 * time.Millisecond
+	// staleAfter is the time since the last contact with control after which the
+	// document counts as stale: twice the longest pause between two updates.
+	staleAfter = time.Second
+	// flowIdleTimeout is the time without a packet after which a flow is no longer
+	// tracked here. Its packets are still forwarded by their token.
+	flowIdleTimeout = 20 * time.Second
 	// openTimeout is the time after which a caller has given up on a flow that got
-	// no answer: copies are sent until 600 ms, and the last is waited for.
+	// no answer: it retransmits until 600 ms and then waits for an answer.
 	openTimeout = 2 * time.Second
-	// handshakeFactor times the usual handshake is the time after which one counts
-	// as unanswered, between the bounds below. The upper one is before the first
-	// copy.
+	// A handshake counts as unanswered after handshakeFactor times the mean
+	// handshake time, within the limits below. The upper one is shorter than the
+	// time until callers retransmit.
 	handshakeFactor     = 4
 	minHandshakeTimeout = 30 * time.Millisecond
 	maxHandshakeTimeout = 150 * time.Millisecond
-	// endGrace is the time after the end of a backend server's life from which the
-	// callers of its flows are told. It may still send its last packets when it
-	// says that it leaves.
-	endGrace = 2 * time.Second
-	// answerTimeout is the time after which a request counts no longer as
-	// waiting: its caller has given up.
+	// endGracePeriod is the time after an incarnation's end from which packets of
+	// its flows are refused. A backend server may still send its last packets when
+	// it reports that it leaves.
+	endGracePeriod = 2 * time.Second
+	// answerTimeout is the time after which a request no longer counts as pending:
+	// its caller has given up.
 	answerTimeout = 5 * time.Second
-	// latencyShift sets the share of one request in the latency of a backend
-	// server to 1/8, which follows a change within some ten requests.
+	// latencyShift gives a sample the weight 1/8 in the moving averages of latency
+	// and handshake time, which then follow a change within about ten samples.
 	latencyShift = 3
 )
 
-// maxFlows bounds the flows that are remembered, at 200 bytes each.
+// maxFlows limits the flows that are tracked, at about 200 bytes each.
 const maxFlows = 1 << 16
 
-// Backend is an incarnation with what this instance sees of it.
+// Backend is an incarnation with what this instance has observed of it.
 type Backend struct {
 	catkinrail.Incarnation
-	token   catkinrail.Token
-	silent  bool
-	warm    int64
-	waiting int
-	// unopened is the number of flows that wait for their handshake. They count
-	// as load: a server that resets every flow at once has no other.
-	unopened int
-	flows    int
-	latency  time.Duration
-	misses   int
-	missed   int64
-	// ended is the time at which its life was found to be over.
-	ended int64
-	// quiet is the time at which its silence was told.
-	quiet int64
+	token     catkinrail.Token
+	silent    bool
+	warmUntil int64
+	pending   int
+	// pendingHandshakes is the number of flows whose handshake isn't complete. They
+	// count as load: a backend server that resets every flow at once has no other.
+	pendingHandshakes int
+	flows             int
+	latency           time.Duration
+	misses            int
+	lastMiss          int64
+	// endedAt is the time at which it was first found to have ended.
+	endedAt int64
+	// silentSince is the time at which control reported it as silent.
+	silentSince int64
 }
 
 // Token returns the token that packets to the backend server carry.
 func (b *Backend) Token() catkinrail.Token { return b.token }
 
-// Silent reports whether control hears nothing of the backend server.
+// Silent reports whether control receives no reports from the backend server.
 func (b *Backend) Silent() bool { return b.silent }
 
-// flow is what is remembered of a flow that was seen here.
+// flow is the state of a flow that this instance has received packets of.
 type flow struct {
 	backend *Backend
-	// first is the backend server that a copy was taken away from.
-	first *Backend
-	seq   uint32
-	// opened is the time at which the opening packet was last passed on.
-	opened int64
-	// open is set once the caller has answered the handshake.
+	// previous is the backend server that the flow was moved away from, because it
+	// had left the opening packet unanswered.
+	previous *Backend
+	seq      uint32
+	// openedAt is the time at which the opening packet was last forwarded.
+	openedAt int64
+	// open is set once the caller has completed the handshake.
 	open bool
 	// missed is set once the handshake counts as unanswered.
 	missed bool
-	// asked is the time of the request that waits, or zero.
-	asked int64
-	// sent and acked are the newest positions of the caller's packets.
+	// requestedAt is the time of the pending request, or zero.
+	requestedAt int64
+	// sent and acked are the highest sequence and acknowledgement numbers of the
+	// caller's packets.
 	sent, acked uint32
-	seen        int64
+	lastSeen    int64
 }
 
-// Observer hears of the times that the engine learns. It must not wait.
+// Observer receives the times that the engine measures. It must not block.
 type Observer interface {
-	// Handshake is the time from an opening packet to the caller's answer.
+	// Handshake receives the time from an opening packet to the caller's answer.
 	Handshake(took time.Duration)
-	// Answer is the time from a request to the acknowledgement of its answer.
+	// Answer receives the time from a request to the acknowledgement of its answer.
 	Answer(took time.Duration)
 }
 
-// Engine decides about packets. It isn't safe for concurrent use.
+// Engine decides what to do with packets. It isn't safe for concurrent use.
 type Engine struct {
 	observer Observer
 	zone     catkinrail.Zone
@@ -193,22 +197,22 @@
 	tokens   map[catkinrail.Token]*Backend
 	services map[string][]*Backend
 	flows    map[catkinrail.FlowKey]*flow
-	// heard is the time of the last update of a control instance that is current
-	// and has told all that it knows.
-	heard int64
-	// overloaded is set while new flows are turned away.
+	// lastContact is the time of the last update from a control instance that is in
+	// contact with its leader and has sent all that it knows.
+	lastContact int64
+	// overloaded is set while new flows are shed.
 	overloaded bool
 	candidates []place.Candidate
-	// handshakes are the flows that may wait for their handshake, in order.
+	// handshakes are the attempts that may be pending, oldest first.
 	handshakes []handshake
-	// usual is the usual time of a handshake, zero if unknown.
-	usual time.Duration
+	// meanHandshake is the moving average of the handshake time, zero if unknown.
+	meanHandshake time.Duration
 }
 
-// handshake is the opening of a flow.
+// handshake is an attempt to open a flow.
 type handshake struct {
-	key    catkinrail.FlowKey
-	opened int64
+	key      catkinrail.FlowKey
+	openedAt int64
 }
 
 // New returns an engine without a document.
@@ -221,7 +225,7 @@
 	}
 }
 
-// Observe passes the times that are learnt on to o.
+// Observe makes o receive the measured times.
 func (e *Engine) Observe(o Observer) {
 	e.observer = o
 }
@@ -238,7 +242,7 @@
 	if b == nil {
 		return Verdict{Action: Drop, Reason: ReasonUnknownToken}
 	}
-	if b.Gone && now-b.ended > int64(endGrace) {
+	if b.Gone && now-b.endedAt > int64(endGracePeriod) {
 		if p.Reset {
 			return Verdict{Action: Drop, Reason: ReasonGone}
 		}
@@ -248,11 +252,11 @@
 	return Verdict{Action: Forward, Reason: ReasonToken, Backend: b}
 }
 
-// open decides about an opening packet.
+// open decides what to do with an opening packet.
 func (e *Engine) open(p *catkinrail.TokenPacket, now int64) Verdict {
 	e.expireHandshakes(now)
 	if f := e.flows[p.Flow]; f != nil && f.seq == p.Seq && !f.backend.Gone {
-		return e.again(p, f, now)
+		return e.openCopy(p, f, now)
 	}
 	if e.overloaded {
 		return e.shed(p)
@@ -266,14 +270,15 @@
 	if b == nil {
 		return e.refuse(p, ReasonNoBackend, now)
 	}
-	e.remember(p, b, now)
+	e.track(p, b, now)
 	return Verdict{Action: Forward, Reason: ReasonPlaced, Backend: b}
 }
 
-// refuse turns a new flow away at once if that is certainly right: if what this
-// instance knows is current, and no instance can have passed the flow on.
+// refuse refuses a new flow if that is certainly right: if the document and the list
+// of backend servers are current and no instance can have forwarded the flow. If not,
+// it drops the packet.
 func (e *Engine) refuse(p *catkinrail.TokenPacket, reason Reason, now int64) Verdict {
-	if e.Age(now) > currentSpan {
+	if e.Age(now) > staleAfter {
 		return Verdict{Action: Drop, Reason: ReasonStale}
 	}
 	if p.Copy > 0 {
@@ -282,8 +287,8 @@
 	return Verdict{Action: Refuse, Reason: reason}
 }
 
-// shed turns a new flow away. A copy is dropped: the first may have been passed on
-// elsewhere.
+// shed refuses a new flow. A retransmitted packet is dropped instead: another
+// instance may have forwarded the first.
 func (e *Engine) shed(p *catkinrail.TokenPacket) Verdict {
 	if p.Copy > 0 {
 		return Verdict{Action: Drop, Reason: ReasonOverload}
@@ -291,31 +296,31 @@
 	return Verdict{Action: Refuse, Reason: ReasonOverload}
 }
 
-// SetOverloaded says whether new flows are to be turned away, for the sake of those
-// that are open. It reports whether that is news.
+// SetOverloaded sets whether new flows are shed to keep those that are open. It
+// reports whether that is a change.
 func (e *Engine) SetOverloaded(on bool) (changed bool) {
 	changed = e.overloaded != on
 	e.overloaded = on
 	return changed
 }
 
-// again decides about a copy of an opening packet.
-func (e *Engine) again(p *catkinrail.TokenPacket, f *flow, now int64) Verdict {
-	f.seen = now
-	if f.open || now-f.opened < int64(copyGap) {
+// openCopy decides what to do with a copy of an opening packet.
+func (e *Engine) openCopy(p *catkinrail.TokenPacket, f *flow, now int64) Verdict {
+	f.lastSeen = now
+	if f.open || now-f.openedAt < int64(retransmitGap) {
 		return Verdict{Action: Forward, Reason: ReasonCopy, Backend: f.backend}
 	}
-	e.miss(f, now)
+	e.recordMiss(f, now)
 	next := e.place(f.backend.Service, f.backend, now)
-	if next == nil || next == f.first {
-		f.opened = now
+	if next == nil || next == f.previous {
+		f.openedAt = now
 		return Verdict{Action: Forward, Reason: ReasonCopy, Backend: f.backend}
 	}
-	f.first = f.backend
+	f.previous = f.backend
 	e.detach(f)
-	f.backend, f.opened, f.missed = next, now, false
+	f.backend, f.openedAt, f.missed = next, now, false
 	next.flows++
-	next.unopened++
+	next.pendingHandshakes++
 	e.handshakes = append(e.handshakes, handshake{p.Flow, now})
 	return Verdict{Action: Forward, Reason: ReasonNext, Backend: next}
 }
@@ -330,8 +335,8 @@
 	e.candidates = e.candidates[:0]
 	for _, b := range list {
 		e.candidates = append(e.candidates, place.Candidate{
-			Slots: b.Slots, Pending: b.waiting + b.unopened, Flows: b.flows, Latency: b.latency,
-			Warmup: time.Duration(max(0, b.warm-now)), Misses: b.misses, SinceMiss: time.Duration(now - b.missed),
+			Slots: b.Slots, Pending: b.pending + b.pendingHandshakes, Flows: b.flows, Latency: b.latency,
+			Warmup: time.Duration(max(0, b.warmUntil-now)), Misses: b.misses, SinceMiss: time.Duration(now - b.lastMiss),
 			Silent: b.silent, Draining: b.Draining || b == avoid, Local: b.Zone == e.zone,
 		})
 	}
--- a/coordination/token/engine_test.go
+++ b/coordination/token/engine_test.go
@@ -89,14 +89,14 @@
 			token.Drop, token.ReasonStale,
 		},
 		{
-			"no backend server before the first word of control", func() *token.Engine {
+			"no backend server before the first contact with control", func() *token.Engine {
 				e := token.New("a", 1)
 				e.SetDocument(document(1))
 				return e
 			}, opening(1, 0), int64(time.Hour), token.Drop, token.ReasonStale,
 		},
 		{
-			"a copy is not refused: the first may have been passed on", func() *token.Engine { return newEngine(leaving) },
+			"a copy is not refused: the first may have been forwarded", func() *token.Engine { return newEngine(leaving) },
 			opening(1, 1), 0, token.Drop, token.ReasonNoBackend,
 		},
 	}
@@ -117,9 +117,9 @@
 		answered bool
 		same     bool
 	}{
-		{"that waited here together go to one backend server", 5 * ms, false, true},
-		{"that the caller sent late go to the next one", 200 * ms, false, false},
-		{"of an open flow stay", 200 * ms, true, true},
+		{"queued here together go to one backend server", 5 * ms, false, true},
+		{"retransmitted by the caller go to the next one", 200 * ms, false, false},
+		{"of an open flow stay with it", 200 * ms, true, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -134,14 +134,14 @@
 	}
 }
 
-func TestUnansweredBackendIsPassedOver(t *testing.T) {
+func TestUnresponsiveBackendIsAvoided(t *testing.T) {
 	e := newEngine(backend("a", 1), backend("b", 2))
 	first := e.Decide(opening(1, 0), 0).Backend
 	e.Decide(opening(1, 1), 200*ms)
 	for port := range uint16(20) {
 		require.NotEqual(t, first, e.Decide(opening(100+port, 0), 210*ms).Backend)
 	}
-	// An answer that came late after all shows that it is there.
+	// A late answer shows that the backend server runs.
 	e.Decide(data(1, first.Token(), 2, 100, 0), 220*ms)
 	used := false
 	for port := range uint16(60) {
@@ -155,7 +155,7 @@
 	require.Equal(t, "b", e.Decide(data(9, 2, 1, 1, 10), 0).Backend.Name, "a flow that another instance opened")
 	require.Equal(t, token.ReasonUnknownToken, e.Decide(data(9, 77, 1, 1, 10), 0).Reason)
 
-	// A backend server that drains keeps its flows; one that has ended does not.
+	// A draining backend server keeps its flows, an ended one doesn't.
 	b := backend("b", 2)
 	b.Sequence, b.Draining = 2, true
 	e.Update([]token.Followed{b}, 0)
@@ -184,7 +184,7 @@
 	require.Equal(t, "b", e.Decide(opening(99, 0), 0).Backend.Name)
 }
 
-func TestOlderNewsChangesNothing(t *testing.T) {
+func TestOutdatedUpdatesAreIgnored(t *testing.T) {
 	e := newEngine(backend("a", 1))
 	require.False(t, e.SetDocument(document(1)))
 	require.True(t, e.SetDocument(document(3)))
@@ -199,13 +199,13 @@
 
 	silent := backend("a", 1)
 	silent.Silent = true
-	require.Len(t, e.Update([]token.Followed{silent}, 0), 1, "what the sender observed counts although its report is old")
+	require.Len(t, e.Update([]token.Followed{silent}, 0), 1, "the sender's observation counts although its report is old")
 
-	reborn := backend("a", 1)
-	reborn.Born = 200
-	require.Len(t, e.Update([]token.Followed{reborn}, 0), 1)
+	restarted := backend("a", 1)
+	restarted.Born = 200
+	require.Len(t, e.Update([]token.Followed{restarted}, 0), 1)
 	require.Equal(t, token.ReasonPlaced, e.Decide(opening(2, 0), 0).Reason)
-	require.Empty(t, e.Update([]token.Followed{draining}, 0), "the earlier life")
+	require.Empty(t, e.Update([]token.Followed{draining}, 0), "the earlier incarnation")
 }
 
 func TestSplitRoutes(t *testing.T) {
@@ -220,17 +220,17 @@
 	require.InDelta(t, 100, count["b"], 40)
 }
 
-// TestFlowReachesTheServerItIsOpenAt runs the handshake of a flow with every
-// order in which packets may be lost, delayed or repeated, at one entry instance
-// or two: when the caller has opened a flow, its packets reach the backend
-// server whose answer it has acknowledged.
-func TestFlowReachesTheServerItIsOpenAt(t *testing.T) {
+// TestOpenFlowReachesItsBackend runs the handshake of a flow through one or two entry
+// instances, with packets lost, delayed and retransmitted. Once the flow is open, its
+// packets must reach the backend server whose answer the caller has acknowledged.
+func TestOpenFlowReachesItsBackend(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := []*token.Engine{
 			newEngine(backend("a", 1), backend("b", 2), backend("c", 3)),
 			newEngine(backend("a", 1), backend("b", 2), backend("c", 3)),
 		}
-		// Each copy goes through the instance that the fabric has chosen by then.
+		// The copies up to a random one go through one instance, later ones through the
+		// other, as when the fabric changes the route in between.
 		change := rapid.IntRange(0, 3).Draw(t, "rotation changes before copy")
 		at := []int64{0, 200 * ms, 600 * ms}
 		type answer struct {
@@ -249,8 +249,8 @@
 			v := e.Decide(opening(1, uint32(i)), sent)
 			require.Equal(t, token.Forward, v.Action)
 			if rapid.Bool().Draw(t, "backend server answers") {
-				// An answer that takes longer than the gap between two copies has met
-				// a fault on the way.
+				// Longer delays than the time between two copies are network faults,
+				// which this test doesn't cover.
 				answers = append(answers, answer{v.Backend, sent + rapid.Int64Range(1, 190).Draw(t, "delay")*ms})
 			}
 		}
@@ -263,20 +263,20 @@
 				first = a
 			}
 		}
-		// The caller's acknowledgement carries the token that it has received last
-		// before it sends: that of the first answer.
+		// The caller's acknowledgement carries the token of the first answer, the
+		// last token that it received before.
 		e := engines[rapid.IntRange(0, 1).Draw(t, "instance")]
 		v := e.Decide(data(1, first.b.Token(), 2, 100, 0), first.arrives)
 		require.Equal(t, token.Forward, v.Action)
 		require.Equal(t, first.b.Name, v.Backend.Name)
-		// Whatever else this instance believes, later packets follow the token.
+		// Later packets follow the token, whatever else this instance assumes.
 		v = e.Decide(data(1, first.b.Token(), 2, 100, 900), first.arrives+50*ms)
 		require.Equal(t, first.b.Name, v.Backend.Name)
 	})
 }
 
-// TestLoadIsEven replays requests on many flows: the busiest backend server has
-// hardly more to do than the mean.
+// TestLoadIsEven replays requests on many flows and checks that each backend server
+// gets about the same number.
 func TestLoadIsEven(t *testing.T) {
 	e := newEngine(backend("a", 1), backend("b", 2), backend("c", 3), backend("d", 4))
 	count := map[string]int{}
@@ -298,7 +298,7 @@
 	}
 }
 
-func TestForget(t *testing.T) {
+func TestFlowsExpire(t *testing.T) {
 	e := newEngine(backend("a", 1))
 	b := e.Decide(opening(1, 0), 0).Backend
 	e.Decide(data(1, b.Token(), 2, 100, 10), ms)
@@ -314,7 +314,8 @@
 	require.Zero(t, e.Flows())
 }
 
-// TestOverload turns away new flows, and only those that certainly are new.
+// TestOverload checks that an overloaded instance refuses new flows, and only those
+// that certainly are new.
 func TestOverload(t *testing.T) {
 	e := newEngine(backend("a", 1))
 	before := e.Decide(opening(1, 0), 0)
@@ -327,8 +328,8 @@
 		reason token.Reason
 	}{
 		{"a new flow", opening(2, 0), token.Refuse, token.ReasonOverload},
-		{"a copy, of which another instance may have passed on the first", opening(3, 1), token.Drop, token.ReasonOverload},
-		{"a copy of what was passed on here", opening(1, 1), token.Forward, token.ReasonCopy},
+		{"a copy whose first another instance may have forwarded", opening(3, 1), token.Drop, token.ReasonOverload},
+		{"a copy of a packet that was forwarded here", opening(1, 1), token.Forward, token.ReasonCopy},
 		{"an open flow", data(1, before.Backend.Token(), 2, 100, 10), token.Forward, token.ReasonToken},
 	}
 	for _, tt := range tests {
@@ -342,9 +343,9 @@
 	require.Equal(t, token.ReasonPlaced, e.Decide(opening(2, 0), ms).Reason)
 }
 
-// TestEndedIncarnationsAreForgotten replays a year of releases: what is known stays
-// as large as what lives.
-func TestEndedIncarnationsAreForgotten(t *testing.T) {
+// TestEndedIncarnationsExpire checks that ended and silent incarnations are removed
+// after catkinrail.KeepEnded, so that releases over a year don't fill the memory.
+func TestEndedIncarnationsExpire(t *testing.T) {
 	keep := int64(catkinrail.KeepEnded)
 	e := newEngine(backend("a", 1), backend("b", 2), backend("c", 3))
 	gone, silent := backend("b", 2), backend("c", 3)
@@ -360,8 +361,8 @@
 	require.Equal(t, token.ReasonToken, e.Decide(data(2, silent.Token(), 2, 1, 1), keep+2).Reason)
 }
 
-// TestLateReportDoesNotProlongWarmup covers a control instance that lags behind the
-// one followed before.
+// TestLateReportDoesNotProlongWarmup covers an update from a control instance that
+// lags behind the one that was followed before.
 func TestLateReportDoesNotProlongWarmup(t *testing.T) {
 	cold, warm := backend("a", 1), backend("b", 2)
 	cold.Warmup, cold.Sequence = time.Second, 5
@@ -375,9 +376,9 @@
 	require.Equal(t, map[string]int{"a": 10, "b": 10}, placed)
 }
 
-// TestBackendThatResetsAttractsNoFlows replays callers that try again at once
-// when a backend server resets their flow: without a load of its own it must not
-// look like the best one.
+// TestBackendThatResetsAttractsNoFlows replays callers that retry at once when a
+// backend server resets their flow. That backend server never has open flows or
+// pending requests, and must not be taken for the least loaded one.
 func TestBackendThatResetsAttractsNoFlows(t *testing.T) {
 	e := newEngine(backend("a", 1), backend("b", 2), backend("c", 3), backend("d", 4))
 	answer := func(port uint16, b *token.Backend, now int64) {
@@ -399,6 +400,7 @@
 		}
 		answer(port, b, now)
 	}
-	// One until its silence shows, as handshakes take 5 ms, and hardly more.
+	// One until its handshake counts as unanswered, as the other backend servers
+	// complete theirs in 5 ms, and few more.
 	require.LessOrEqual(t, lost, 4)
 }
--- a/coordination/token/observe.go
+++ b/coordination/token/observe.go
@@ -6,26 +6,27 @@
 	"catkinrail.example/catkinrail"
 )
 
-// remember notes a flow that was placed on a backend server.
-func (e *Engine) remember(p *catkinrail.TokenPacket, b *Backend, now int64) {
+// track starts to track a flow that was placed on a backend server.
+func (e *Engine) track(p *catkinrail.TokenPacket, b *Backend, now int64) {
 	if old := e.flows[p.Flow]; old != nil {
-		e.forget(p.Flow, old)
+		e.untrack(p.Flow, old)
 	}
 	if len(e.flows) >= maxFlows {
 		return
 	}
-	e.flows[p.Flow] = &flow{backend: b, seq: p.Seq, opened: now, sent: p.Seq, seen: now}
+	e.flows[p.Flow] = &flow{backend: b, seq: p.Seq, openedAt: now, sent: p.Seq, lastSeen: now}
 	b.flows++
-	b.unopened++
+	b.pendingHandshakes++
 	e.handshakes = append(e.handshakes, handshake{p.Flow, now})
 }
 
-func (e *Engine) forget(key catkinrail.FlowKey, f *flow) {
+func (e *Engine) untrack(key catkinrail.FlowKey, f *flow) {
 	e.detach(f)
 	delete(e.flows, key)
 }
 
-// observe learns from a packet of an open flow how its backend server does.
+// observe updates the flow, and the load and latency of its backend server, from a
+// packet of an open flow.
 func (e *Engine) observe(p *catkinrail.TokenPacket, b *Backend, now int64) {
 	f := e.flows[p.Flow]
 	if f == nil || f.backend != b {
@@ -34,74 +35,74 @@
 			return
 		}
 	}
-	f.seen = now
+	f.lastSeen = now
 	if !f.open {
-		e.opened(f, p.Ack, now)
+		e.recordHandshake(f, p.Ack, now)
 	}
 	if int32(p.Ack-f.acked) > 0 {
 		f.acked = p.Ack
 		b.misses = 0
-		e.answered(f, now)
+		e.recordAnswer(f, now)
 	}
 	if end := p.Seq + uint32(p.Payload); p.Payload > 0 && int32(end-f.sent) > 0 {
 		f.sent = end
-		if f.asked == 0 {
-			b.waiting++
+		if f.requestedAt == 0 {
+			b.pending++
 		}
-		f.asked = now
+		f.requestedAt = now
 	}
 	if p.Closing || p.Reset {
-		e.forget(p.Flow, f)
+		e.untrack(p.Flow, f)
 	}
 }
 
-// opened notes that the caller has answered the handshake.
-func (e *Engine) opened(f *flow, ack uint32, now int64) {
+// recordHandshake records that the caller has completed the handshake.
+func (e *Engine) recordHandshake(f *flow, ack uint32, now int64) {
 	f.open, f.acked = true, ack
-	f.backend.unopened--
+	f.backend.pendingHandshakes--
 	f.backend.misses = 0
-	took := time.Duration(now - f.opened)
+	took := time.Duration(now - f.openedAt)
 	if e.observer != nil {
 		e.observer.Handshake(took)
 	}
-	if e.usual == 0 {
-		e.usual = took
+	if e.meanHandshake == 0 {
+		e.meanHandshake = took
 		return
 	}
-	e.usual += (took - e.usual) >> latencyShift
+	e.meanHandshake += (took - e.meanHandshake) >> latencyShift
 }
 
-// adopt remembers a flow that another instance opened, or that was found to be
-// on another backend server than assumed.
+// adopt tracks a flow that another instance opened, or that turned out to be on
+// another backend server than assumed.
 func (e *Engine) adopt(p *catkinrail.TokenPacket, b *Backend, old *flow, now int64) *flow {
 	if old != nil {
-		if old.first == b {
-			// Its answer came after all, later than the caller's copy.
+		if old.previous == b {
+			// It answered after all, but only after the caller had retransmitted.
 			b.misses = 0
 		}
-		e.forget(p.Flow, old)
+		e.untrack(p.Flow, old)
 	}
 	if len(e.flows) >= maxFlows || p.Closing || p.Reset {
 		return nil
 	}
-	f := &flow{backend: b, open: true, seq: p.Seq, sent: p.Seq, acked: p.Ack, seen: now}
+	f := &flow{backend: b, open: true, seq: p.Seq, sent: p.Seq, acked: p.Ack, lastSeen: now}
 	e.flows[p.Flow] = f
 	b.flows++
 	return f
 }
 
-// answered notes that the request in flight got its answer.
-func (e *Engine) answered(f *flow, now int64) {
-	if f.asked == 0 {
+// recordAnswer records the answer to the pending request, if there is one.
+func (e *Engine) recordAnswer(f *flow, now int64) {
+	if f.requestedAt == 0 {
 		return
 	}
 	b := f.backend
-	took := time.Duration(now - f.asked)
+	took := time.Duration(now - f.requestedAt)
 	if e.observer != nil {
 		e.observer.Answer(took)
 	}
-	f.asked = 0
-	b.waiting--
+	f.requestedAt = 0
+	b.pending--
 	if b.latency == 0 {
 		b.latency = took
 		return
@@ -109,37 +110,37 @@
 	b.latency += (took - b.latency) >> latencyShift
 }
 
-// Tick forgets flows and incarnations that are over. It should be called about
-// once a second.
+// Tick expires flows, requests and incarnations. It should be called about once a
+// second.
 func (e *Engine) Tick(now int64) {
-	e.forgetEnded(now)
+	e.expireBackends(now)
 	for key, f := range e.flows {
-		if now-f.seen > int64(flowTimeout) || (!f.open && now-f.opened > int64(openTimeout)) {
-			e.forget(key, f)
+		if now-f.lastSeen > int64(flowIdleTimeout) || (!f.open && now-f.openedAt > int64(openTimeout)) {
+			e.untrack(key, f)
 			continue
 		}
-		if f.asked != 0 && now-f.asked > int64(answerTimeout) {
-			f.asked = 0
-			f.backend.waiting--
+		if f.requestedAt != 0 && now-f.requestedAt > int64(answerTimeout) {
+			f.requestedAt = 0
+			f.backend.pending--
 		}
 	}
 }
 
-// expireHandshakes notes the backend servers that have left a handshake
+// expireHandshakes records a miss for backend servers that have left a handshake
 // unanswered.
 func (e *Engine) expireHandshakes(now int64) {
-	limit := min(max(handshakeFactor*e.usual, minHandshakeTimeout), maxHandshakeTimeout)
-	if e.usual == 0 {
+	limit := min(max(handshakeFactor*e.meanHandshake, minHandshakeTimeout), maxHandshakeTimeout)
+	if e.meanHandshake == 0 {
 		limit = maxHandshakeTimeout
 	}
 	n := 0
 	for _, h := range e.handshakes {
-		if now-h.opened < int64(limit) {
+		if now-h.openedAt < int64(limit) {
 			break
 		}
 		n++
-		if f := e.flows[h.key]; f != nil && !f.open && f.opened == h.opened {
-			e.miss(f, now)
+		if f := e.flows[h.key]; f != nil && !f.open && f.openedAt == h.openedAt {
+			e.recordMiss(f, now)
 		}
 	}
 	if n > 0 {
@@ -147,29 +148,29 @@
 	}
 }
 
-// miss notes that a backend server left a flow's opening packet unanswered. Of
-// those that were under way at the same time, one counts.
-func (e *Engine) miss(f *flow, now int64) {
+// recordMiss records that a backend server left a flow's opening packet unanswered.
+// Of several that were pending at the same time, one counts.
+func (e *Engine) recordMiss(f *flow, now int64) {
 	if f.missed {
 		return
 	}
 	f.missed = true
 	b := f.backend
-	if b.misses > 0 && f.opened <= b.missed {
+	if b.misses > 0 && f.openedAt <= b.lastMiss {
 		return
 	}
 	b.misses++
-	b.missed = now
+	b.lastMiss = now
 }
 
-// detach takes the flow off its backend server's load.
+// detach removes the flow from its backend server's load.
 func (e *Engine) detach(f *flow) {
 	b := f.backend
 	b.flows--
 	if !f.open {
-		b.unopened--
+		b.pendingHandshakes--
 	}
-	if f.asked != 0 {
-		b.waiting--
+	if f.requestedAt != 0 {
+		b.pending--
 	}
 }
--- a/coordination/token/update.go
+++ b/coordination/token/update.go
@@ -15,8 +15,8 @@
 	Silent bool
 }
 
-// SetDocument takes a document and reports whether it is newer than the one in
-// force. An older one is never taken.
+// SetDocument puts a document in force if it is newer than the current one, and
+// reports whether it is.
 func (e *Engine) SetDocument(d *catkinrail.Document) bool {
 	if e.document != nil && d.Version <= e.document.Version {
 		return false
@@ -37,95 +37,99 @@
 	return e.document.Version
 }
 
-// Heard notes an update of a control instance that is in touch with its leader
-// and has told all that it knows.
+// Heard records an update from a control instance that is in contact with
+// its leader and has sent all that it knows.
 func (e *Engine) Heard(now int64) {
-	e.heard = now
+	e.lastContact = now
 }
 
-// Age returns the age of the last update of a current control instance.
+// Age returns the time since the last recorded contact with control.
 func (e *Engine) Age(now int64) time.Duration {
-	return time.Duration(now - e.heard)
+	return time.Duration(now - e.lastContact)
 }
 
-// Flows returns the number of flows that are remembered.
+// Flows returns the number of flows that are tracked.
 func (e *Engine) Flows() int {
 	return len(e.flows)
 }
 
-// Update takes what control knows of backend servers and returns those that this
-// changed. What is older than what is known is passed over.
+// Update applies the states of backend servers that control has sent, and returns
+// the backend servers that changed. States of ended incarnations are ignored; of an
+// outdated report, only Silent counts.
 func (e *Engine) Update(list []Followed, now int64) []*Backend {
 	var changed []*Backend
 	for i := range list {
 		in := &list[i]
 		b := e.backends[in.Name]
-		if b != nil && in.ended(&b.Incarnation) {
+		if b != nil && in.endedBy(&b.Incarnation) {
 			continue
 		}
 		if b == nil || b.Born != in.Born {
-			// The flows of an earlier life have ended with it.
+			// The flows of an earlier incarnation have ended with it.
 			b = &Backend{}
 			e.backends[in.Name] = b
 		}
-		if b.take(in, now) {
+		if b.apply(in, now) {
 			changed = append(changed, b)
 		}
 	}
 	if len(changed) > 0 {
-		e.index()
+		e.rebuildIndex()
 	}
 	return changed
 }
 
-// ended reports whether known says that the life which in tells of is over.
-func (in *Followed) ended(known *catkinrail.Incarnation) bool {
+// endedBy reports whether known, the stored incarnation of the same name, shows that
+// the one in the update has ended.
+func (in *Followed) endedBy(known *catkinrail.Incarnation) bool {
 	if in.Born != known.Born {
 		return in.Born < known.Born
 	}
 	return known.Gone && !in.Gone
 }
 
-// take takes a report, unless a newer one is known: then only what its sender
-// observed is new. It reports whether the backend server changed.
-func (b *Backend) take(in *Followed, now int64) bool {
+// apply applies a state sent by control. If its report isn't newer than the known
+// one, only Silent, which the sender observed itself, is updated. It reports whether
+// the backend server changed.
+func (b *Backend) apply(in *Followed, now int64) bool {
 	before := *b
 	if in.Newer(&b.Incarnation) {
 		b.Incarnation = in.Incarnation
 		b.token = in.Token()
-		b.warm = now + int64(in.Warmup)
+		b.warmUntil = now + int64(in.Warmup)
 	}
 	b.silent = in.Silent
 	if b.Gone && !before.Gone {
-		b.ended = now
+		b.endedAt = now
 	}
 	if b.silent && !before.silent {
-		b.quiet = now
+		b.silentSince = now
 	}
 	return before.Name == "" || before.Draining != b.Draining || before.Gone != b.Gone || before.silent != b.silent
 }
 
-// forgetEnded forgets the incarnations that are long gone or silent.
-func (e *Engine) forgetEnded(now int64) {
+// expireBackends removes the incarnations that ended or fell silent more than
+// catkinrail.KeepEnded ago.
+func (e *Engine) expireBackends(now int64) {
 	n := len(e.backends)
 	for name, b := range e.backends {
-		since := b.quiet
+		since := b.silentSince
 		if b.Gone {
-			since = b.ended
+			since = b.endedAt
 		}
 		if (b.Gone || b.silent) && now-since > int64(catkinrail.KeepEnded) {
 			delete(e.backends, name)
 		}
 	}
 	if len(e.backends) < n {
-		e.index()
+		e.rebuildIndex()
 	}
 }
 
-// index gives each token to the incarnation that was born first among those that
-// live, so that a token never changes its meaning under an open flow. An
+// rebuildIndex assigns each token to the incarnation that started first among those that
+// have not ended, so that a token never changes its meaning for an open flow. An
 // incarnation whose token is taken gets no flows.
-func (e *Engine) index() {
+func (e *Engine) rebuildIndex() {
 	list := make([]*Backend, 0, len(e.backends))
 	for _, b := range e.backends {
 		list = append(list, b)
@@ -152,12 +156,12 @@
 	}
 }
 
-// Backends returns the incarnations that are known, by name.
+// Backends returns the known incarnations by name.
 func (e *Engine) Backends() map[string]catkinrail.Incarnation {
 	list := make(map[string]catkinrail.Incarnation, len(e.backends))
 	for name, b := range e.backends {
 		inc := b.Incarnation
-		// Renewals and the time since a start differ from instance to instance.
+		// Sequence and remaining warm-up differ from instance to instance.
 		inc.Sequence, inc.Warmup = 0, 0
 		list[name] = inc
 	}
