--- a/state/directory/directory.go
+++ b/state/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory keeps what control knows of backend servers: a map that
-// takes the last writer by birth and sequence, so that instances agree without
-// a leader once they have heard the same reports in any order.
+// Package directory keeps what control instances know of backend servers. It is a map
+// in which the last writer wins, by start and sequence, so that instances agree
+// without a leader once they have received the same reports, in any order.
 package directory
 
 import (
@@ -19,52 +19,55 @@
 // entry is an incarnation with what this instance observed of it.
 type entry struct {
 	inc catkinrail.Incarnation
-	// heard is the time of the newest report, in nanoseconds of the clock.
-	heard int64
-	// warm is the time at which its warm-up ends.
-	warm   int64
-	silent bool
-	// revision is that of the last change that others must hear of.
+	// lastReport is the time of the newest report, in nanoseconds of the clock.
+	lastReport int64
+	// warmUntil is the time at which its warm-up ends.
+	warmUntil int64
+	silent    bool
+	// revision is that of the last change that other instances need.
 	revision uint64
-	// pulse is the revision of the last report.
-	pulse uint64
-	// local is set if the last change came from the backend server itself.
+	// reportRevision is that of the last report or change.
+	reportRevision uint64
+	// local is set if the last complete report came from the backend server itself.
 	local bool
 }
 
-// Limits of what is kept.
+// Limits of the directory's size.
 const (
-	// maxEntries bounds the directory, above the planned 4,800 backend servers
-	// with a day's replacements.
+	// maxEntries leaves room for the planned 4,800 backend servers and a day's
+	// replacements.
 	maxEntries = 1 << 15
-	// minOrder is the number of superseded changes that are kept in any case.
-	minOrder = 256
+	// compactionSlack is the number of changes, beyond two for each entry, that may
+	// be kept before superseded ones are deleted.
+	compactionSlack = 256
 )
 
-// Directory isn't safe for concurrent use.
+// Directory holds the known incarnations of backend servers, one for each name. It
+// isn't safe for concurrent use.
 type Directory struct {
 	silentAfter int64
 	entries     map[string]*entry
 	byAddr      map[netip.AddrPort]string
 	revision    uint64
-	// order lists the changes that others must hear of, oldest first. An entry's
-	// latest is always among them.
-	order []change
+	// changes lists the changes that other instances need, oldest first. The latest
+	// one of an entry is always among them.
+	changes []change
 }
 
-// change says that an entry got a revision.
+// change is a revision of an entry.
 type change struct {
 	revision uint64
 	name     string
 }
 
-// note gives an entry the next revision, as a change that others must hear of.
-func (d *Directory) note(name string, e *entry) {
+// recordChange gives an entry the next revision, as a change that other instances
+// need.
+func (d *Directory) recordChange(name string, e *entry) {
 	d.revision++
-	e.revision, e.pulse = d.revision, d.revision
-	d.order = append(d.order, change{d.revision, name})
-	if len(d.order) > 2*len(d.entries)+minOrder {
-		d.order = slices.DeleteFunc(d.order, func(c change) bool {
+	e.revision, e.reportRevision = d.revision, d.revision
+	d.changes = append(d.changes, change{d.revision, name})
+	if len(d.changes) > 2*len(d.entries)+compactionSlack {
+		d.changes = slices.DeleteFunc(d.changes, func(c change) bool {
 			e := d.entries[c.name]
 			return e == nil || e.revision != c.revision
 		})
@@ -79,16 +82,17 @@
 	}
 }
 
-// Outcome says what a report did.
+// Outcome is the effect of a report.
 type Outcome uint8
 
 // Outcomes.
 const (
-	// Ignored reports were older than what is known, or can't be taken.
+	// Ignored is a report that is not newer than the known one, or that doesn't fit
+	// into the directory.
 	Ignored Outcome = iota
-	// Renewed reports changed nothing but the time.
+	// Renewed is a report that changed no state but the time of the last report.
 	Renewed
-	// Changed reports changed what others must hear of.
+	// Changed is a report that changed what other instances need.
 	Changed
 )
 
@@ -97,7 +101,8 @@
 	return [...]string{"ignored", "renewed", "changed"}[o]
 }
 
-// Report takes a report, from the backend server itself if local is set.
+// Report applies a report. Local is set if it came from the backend server itself,
+// not from another instance.
 func (d *Directory) Report(inc *catkinrail.Incarnation, now int64, local bool) Outcome {
 	old := d.entries[inc.Name]
 	if old != nil && !inc.Newer(&old.inc) {
@@ -112,15 +117,15 @@
 		d.entries[inc.Name] = old
 	}
 	old.inc = *inc
-	old.heard, old.local, old.silent = now, local, false
-	old.warm = now + int64(inc.Warmup)
+	old.lastReport, old.local, old.silent = now, local, false
+	old.warmUntil = now + int64(inc.Warmup)
 	if same {
 		d.revision++
-		old.pulse = d.revision
+		old.reportRevision = d.revision
 		return Renewed
 	}
-	d.note(inc.Name, old)
-	d.settleAddr(inc)
+	d.recordChange(inc.Name, old)
+	d.resolveAddr(inc)
 	return Changed
 }
 
@@ -129,9 +134,9 @@
 		a.Service == b.Service && a.Slots == b.Slots && a.Zone == b.Zone
 }
 
-// settleAddr ends the life of an incarnation whose address a later one has: the
-// address is free again only after its earlier holder has ended.
-func (d *Directory) settleAddr(inc *catkinrail.Incarnation) {
+// resolveAddr ends the earlier of two incarnations with the same address: an address
+// is only reused after its earlier holder has ended.
+func (d *Directory) resolveAddr(inc *catkinrail.Incarnation) {
 	if inc.Gone {
 		return
 	}
@@ -148,7 +153,7 @@
 	d.end(d.entries[inc.Name])
 }
 
-// later orders two incarnations that hold the same address.
+// later reports whether e is the later one of two incarnations with the same address.
 func (e *entry) later(other *entry) bool {
 	if c := cmp.Compare(e.inc.Born, other.inc.Born); c != 0 {
 		return c > 0
@@ -161,23 +166,24 @@
 		return
 	}
 	e.inc.Gone = true
-	d.note(e.inc.Name, e)
+	d.recordChange(e.inc.Name, e)
 }
 
-// Leave ends an incarnation. If born is zero, it ends the one that is known.
+// Leave ends the incarnation of the name that started at born, or the known one if born
+// is zero.
 func (d *Directory) Leave(name string, born, now int64) Outcome {
 	e := d.entries[name]
 	if e == nil || e.inc.Gone || (born != 0 && born < e.inc.Born) {
 		return Ignored
 	}
 	e.inc.Born = max(e.inc.Born, born)
-	e.heard, e.local = now, true
+	e.lastReport, e.local = now, true
 	d.end(e)
 	return Changed
 }
 
-// Pulse takes a renewal that another instance passes on. It returns false if it
-// doesn't renew what is known here, so that the whole report must be told.
+// Pulse applies a renewal that another instance has forwarded. It returns false if the
+// renewed state isn't known here, so that the complete report must be fetched.
 func (d *Directory) Pulse(name string, born int64, sequence uint64, draining bool, now int64) bool {
 	e := d.entries[name]
 	if e == nil || e.inc.Born < born {
@@ -190,20 +196,20 @@
 		return false
 	}
 	e.inc.Sequence = sequence
-	e.heard = now
+	e.lastReport = now
 	if e.silent {
 		e.silent = false
-		d.note(name, e)
+		d.recordChange(name, e)
 	}
 	return true
 }
 
-// Tick notes who has fallen silent and forgets what is long over. It returns the
-// names of those whose silence began.
+// Tick marks backend servers that have fallen silent and expires those that ended or
+// fell silent long ago. It returns the names of the newly silent ones.
 func (d *Directory) Tick(now int64) []string {
 	var silent []string
 	for name, e := range d.entries {
-		age := now - e.heard
+		age := now - e.lastReport
 		if (e.inc.Gone || e.silent) && age > int64(catkinrail.KeepEnded) {
 			delete(d.entries, name)
 			if d.byAddr[e.inc.Addr] == name {
@@ -213,7 +219,7 @@
 		}
 		if !e.silent && !e.inc.Gone && age > d.silentAfter {
 			e.silent = true
-			d.note(name, e)
+			d.recordChange(name, e)
 			silent = append(silent, name)
 		}
 	}
@@ -221,11 +227,11 @@
 	return silent
 }
 
-// Shift moves the time of every report by the span for which this instance could
-// not hear any.
+// Shift adds span, for which this instance could not receive reports, to the
+// time of every last report, so that the pause doesn't make backend servers silent.
 func (d *Directory) Shift(span int64) {
 	for _, e := range d.entries {
-		e.heard += span
+		e.lastReport += span
 	}
 }
 
@@ -234,12 +240,12 @@
 	return d.revision
 }
 
-// LastChange returns the revision of the last change that others must hear of.
+// LastChange returns the revision of the last change that other instances need.
 func (d *Directory) LastChange() uint64 {
-	if len(d.order) == 0 {
+	if len(d.changes) == 0 {
 		return 0
 	}
-	return d.order[len(d.order)-1].revision
+	return d.changes[len(d.changes)-1].revision
 }
 
 // View is an incarnation with what was observed of it.
@@ -251,17 +257,17 @@
 }
 
 func (e *entry) view(now int64) View {
-	v := View{Incarnation: e.inc, Silent: e.silent, Heard: e.heard}
-	v.Warmup = time.Duration(max(0, e.warm-now))
+	v := View{Incarnation: e.inc, Silent: e.silent, Heard: e.lastReport}
+	v.Warmup = time.Duration(max(0, e.warmUntil-now))
 	return v
 }
 
-// Since returns what has changed after a revision, oldest change first. Its cost
-// is that of the changes, not of the directory.
+// Since returns the incarnations that changed after a revision, oldest change first.
+// Its cost grows with the number of changes, not with the size of the directory.
 func (d *Directory) Since(revision uint64, now int64) []View {
-	from := sort.Search(len(d.order), func(i int) bool { return d.order[i].revision > revision })
+	from := sort.Search(len(d.changes), func(i int) bool { return d.changes[i].revision > revision })
 	var list []View
-	for _, c := range d.order[from:] {
+	for _, c := range d.changes[from:] {
 		if e := d.entries[c.name]; e != nil && e.revision == c.revision {
 			list = append(list, e.view(now))
 		}
@@ -269,12 +275,12 @@
 	return list
 }
 
-// Heard returns what backend servers said to this instance itself after a
-// revision: what has changed, and what was merely renewed.
+// Heard returns the incarnations that reported to this instance itself after a
+// revision: those whose state changed, and those that were only renewed.
 func (d *Directory) Heard(revision uint64, now int64) (changed []catkinrail.Incarnation, renewed []catkinrail.Incarnation) {
 	for _, e := range d.entries {
 		switch {
-		case !e.local || e.pulse <= revision:
+		case !e.local || e.reportRevision <= revision:
 		case e.revision > revision:
 			changed = append(changed, e.view(now).Incarnation)
 		default:
@@ -293,8 +299,8 @@
 	return list
 }
 
-// Digest returns a hash of what instances must agree on. It doesn't depend on
-// the order in which reports came.
+// Digest returns a hash of the state that instances must agree on. It doesn't depend
+// on the order in which reports were received.
 func (d *Directory) Digest() uint64 {
 	sum := uint64(1)
 	var b []byte
--- a/state/directory/directory_test.go
+++ b/state/directory/directory_test.go
@@ -18,7 +18,7 @@
 	second      = int64(time.Second)
 )
 
-// change is a report, or the end of an incarnation.
+// change is a report or, if leave is set, the end of an incarnation.
 type change struct {
 	inc   catkinrail.Incarnation
 	leave bool
@@ -51,19 +51,19 @@
 	tests := []struct {
 		name string
 		list []change
-		// want gives the incarnations that live, by name, with their birth.
+		// want gives the start of the incarnations that have not ended, by name.
 		want map[string]int64
-		// draining names those that drain.
+		// draining lists the names of those that drain.
 		draining []string
 	}{
 		{"a report", []change{{inc: old}}, map[string]int64{"a": 100}, nil},
 		{"a late report does not undo draining", []change{{inc: draining(report("a", 100, 5, 1))}, {inc: report("a", 100, 4, 1)}}, map[string]int64{"a": 100}, []string{"a"}},
-		{"a leave ends a life", []change{{inc: old}, {inc: old, leave: true}}, map[string]int64{}, nil},
-		{"a late report does not bring a life back", []change{{inc: old}, {inc: old, leave: true}, {inc: report("a", 100, 8, 1)}, {inc: report("a", 100, 10, 1)}}, map[string]int64{}, nil},
-		{"a new life under the same name", []change{{inc: old}, {inc: old, leave: true}, {inc: report("a", 200, 1, 1)}}, map[string]int64{"a": 200}, nil},
-		{"a new life without a leave", []change{{inc: old}, {inc: report("a", 200, 1, 1)}}, map[string]int64{"a": 200}, nil},
-		{"a late report of the earlier life", []change{{inc: report("a", 200, 1, 1)}, {inc: old}}, map[string]int64{"a": 200}, nil},
-		{"a late leave of the earlier life", []change{{inc: report("a", 200, 1, 1)}, {inc: old, leave: true}}, map[string]int64{"a": 200}, nil},
+		{"a leave ends an incarnation", []change{{inc: old}, {inc: old, leave: true}}, map[string]int64{}, nil},
+		{"a late report does not restore an ended incarnation", []change{{inc: old}, {inc: old, leave: true}, {inc: report("a", 100, 8, 1)}, {inc: report("a", 100, 10, 1)}}, map[string]int64{}, nil},
+		{"a new incarnation under the same name", []change{{inc: old}, {inc: old, leave: true}, {inc: report("a", 200, 1, 1)}}, map[string]int64{"a": 200}, nil},
+		{"a new incarnation without a leave", []change{{inc: old}, {inc: report("a", 200, 1, 1)}}, map[string]int64{"a": 200}, nil},
+		{"a late report of the earlier incarnation", []change{{inc: report("a", 200, 1, 1)}, {inc: old}}, map[string]int64{"a": 200}, nil},
+		{"a late leave of the earlier incarnation", []change{{inc: report("a", 200, 1, 1)}, {inc: old, leave: true}}, map[string]int64{"a": 200}, nil},
 		{"an address taken over", []change{{inc: old}, {inc: report("b", 200, 1, 1)}}, map[string]int64{"b": 200}, nil},
 		{"a late report of the address's earlier holder", []change{{inc: report("b", 200, 1, 1)}, {inc: old}}, map[string]int64{"b": 200}, nil},
 		{"another address", []change{{inc: old}, {inc: report("b", 200, 1, 2)}}, map[string]int64{"a": 100, "b": 200}, nil},
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestSilence(t *testing.T) {
+func TestSilentBackends(t *testing.T) {
 	d := directory.New(silentAfter)
 	inc := report("a", 100, 1, 1)
 	d.Report(&inc, second, true)
@@ -101,20 +101,20 @@
 	require.True(t, d.Pulse("a", 100, 2, false, 10*second))
 	require.False(t, d.Since(0, 0)[0].Silent)
 	require.False(t, d.Pulse("b", 100, 2, false, 10*second))
-	require.False(t, d.Pulse("a", 200, 1, false, 10*second), "a later life must be fetched")
+	require.False(t, d.Pulse("a", 200, 1, false, 10*second), "a later incarnation must be fetched")
 	require.False(t, d.Pulse("a", 100, 3, true, 10*second), "a change of state must be fetched")
 
-	// A process that was held up for a minute heard nobody meanwhile.
+	// A process that was paused for a minute received no reports in that time.
 	d.Shift(60 * second)
 	require.Empty(t, d.Tick(70*second))
 
-	// What is long over is forgotten.
+	// Entries that fell silent long ago expire.
 	d.Tick(100 * second)
 	d.Tick(100*second + int64(time.Hour))
 	require.Empty(t, d.All(0))
 }
 
-func TestHeardTellsOwnNewsOnly(t *testing.T) {
+func TestLocalSinceReturnsLocalReportsOnly(t *testing.T) {
 	d := directory.New(silentAfter)
 	a, b := report("a", 100, 1, 1), report("b", 100, 1, 2)
 	d.Report(&a, second, true)
@@ -128,11 +128,12 @@
 	changed, renewed = d.Heard(at, second)
 	require.Empty(t, changed)
 	require.Len(t, renewed, 1)
-	require.Empty(t, d.Since(at, second), "a renewal is no news to entry instances")
+	require.Empty(t, d.Since(at, second), "entry instances are not told of renewals")
 }
 
-// TestOrderDoesNotMatter shows that directories that took the same reports in
-// any order, some of them twice, agree on who lives.
+// TestOrderDoesNotMatter checks that directories that received the same reports in
+// different orders, one of them each report twice, agree on the incarnations that have
+// not ended.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []change
@@ -141,8 +142,7 @@
 		for range n {
 			name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
 			born := rapid.Int64Range(1, 3).Draw(t, "born")
-			// A backend server keeps its address for a life, and has started to
-			// drain at some report.
+			// An incarnation keeps its address and drains from its third report on.
 			addr := int(born)%2 + len(name)
 			sequence := rapid.Uint64Range(1, 4).Draw(t, "sequence")
 			inc := report(name, born*10+int64(name[0]-'a'), sequence, addr)
@@ -158,7 +158,7 @@
 		apply(first, list, 1)
 		other := rapid.Permutation(append(list, list...)).Draw(t, "order")
 		apply(second, other, 1)
-		// Anti-entropy passes everything on until nothing changes.
+		// Gossip exchanges all entries until nothing changes.
 		for range 3 {
 			for _, inc := range first.All(1) {
 				second.Report(&inc, 1, false)
@@ -167,11 +167,11 @@
 				first.Report(&inc, 1, false)
 			}
 		}
-		require.Equal(t, alive(first), alive(second))
+		require.Equal(t, activeIncarnations(first), activeIncarnations(second))
 	})
 }
 
-func alive(d *directory.Directory) map[string]int64 {
+func activeIncarnations(d *directory.Directory) map[string]int64 {
 	live := map[string]int64{}
 	for _, inc := range d.All(1) {
 		if !inc.Gone {
@@ -181,31 +181,31 @@
 	return live
 }
 
-// TestChangesAreKeptForEveryRevision draws changes and forgetting; whoever was told
-// up to any revision learns the rest from Since.
+// TestChangesAreKeptForEveryRevision checks that Since returns all changes after any
+// earlier revision, also when superseded changes have been deleted in between.
 func TestChangesAreKeptForEveryRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := directory.New(silentAfter)
-		told := map[string]directory.View{}
+		seen := map[string]directory.View{}
 		at, now := uint64(0), int64(0)
 		for i := range rapid.IntRange(1, 2000).Draw(t, "changes") {
 			now += 1000
 			inc := report(fmt.Sprint("s", i%7), int64(100+i), 1, i%7)
 			inc.Draining = i%3 == 0
 			d.Report(&inc, now, true)
-			if rapid.IntRange(0, 200).Draw(t, "tell") != 0 {
+			if rapid.IntRange(0, 200).Draw(t, "read") != 0 {
 				continue
 			}
 			for _, v := range d.Since(at, now) {
-				told[v.Name] = v
+				seen[v.Name] = v
 			}
 			at = d.Revision()
 		}
 		for _, v := range d.Since(at, now) {
-			told[v.Name] = v
+			seen[v.Name] = v
 		}
 		for _, v := range d.Since(0, now) {
-			require.Equal(t, v.Incarnation, told[v.Name].Incarnation)
+			require.Equal(t, v.Incarnation, seen[v.Name].Incarnation)
 		}
 	})
 }
