--- a/coordination/token/update.go
+++ b/coordination/token/update.go
@@ -126,9 +126,9 @@
 	}
 }
 
-// rebuildIndex assigns each token to the incarnation that started first among those that
-// have not ended, so that a token never changes its meaning for an open flow. An
-// incarnation whose token is taken gets no flows.
+// rebuildIndex assigns each token to the incarnation that started first among those
+// that have not ended, so that a token never changes its meaning for an open flow.
+// An incarnation whose token is taken gets no flows.
 func (e *Engine) rebuildIndex() {
 	list := make([]*Backend, 0, len(e.backends))
 	for _, b := range e.backends {
