--- a/coordination/token/engine.go
+++ b/coordination/token/engine.go
@@ -225,8 +225,8 @@
 	}
 }
 
-// Observe makes o receive the measured times.
-func (e *Engine) Observe(o Observer) {
+// SetObserver makes o receive the measured times.
+func (e *Engine) SetObserver(o Observer) {
 	e.observer = o
 }
 
--- a/state/directory/directory.go
+++ b/state/directory/directory.go
@@ -182,9 +182,9 @@
 	return Changed
 }
 
-// Pulse applies a renewal that another instance has forwarded. It returns false if the
+// Renew applies a renewal that another instance has forwarded. It returns false if the
 // renewed state isn't known here, so that the complete report must be fetched.
-func (d *Directory) Pulse(name string, born int64, sequence uint64, draining bool, now int64) bool {
+func (d *Directory) Renew(name string, born int64, sequence uint64, draining bool, now int64) bool {
 	e := d.entries[name]
 	if e == nil || e.inc.Born < born {
 		return false
@@ -227,9 +227,9 @@
 	return silent
 }
 
-// Shift adds span, for which this instance could not receive reports, to the
+// CompensatePause adds span, for which this instance could not receive reports, to the
 // time of every last report, so that the pause doesn't make backend servers silent.
-func (d *Directory) Shift(span int64) {
+func (d *Directory) CompensatePause(span int64) {
 	for _, e := range d.entries {
 		e.lastReport += span
 	}
@@ -252,12 +252,12 @@
 type View struct {
 	catkinrail.Incarnation
 	Silent bool
-	// Heard is the time of its last report, in nanoseconds of the clock.
-	Heard int64
+	// LastReport is the time of its last report, in nanoseconds of the clock.
+	LastReport int64
 }
 
 func (e *entry) view(now int64) View {
-	v := View{Incarnation: e.inc, Silent: e.silent, Heard: e.lastReport}
+	v := View{Incarnation: e.inc, Silent: e.silent, LastReport: e.lastReport}
 	v.Warmup = time.Duration(max(0, e.warmUntil-now))
 	return v
 }
@@ -275,9 +275,9 @@
 	return list
 }
 
-// Heard returns the incarnations that reported to this instance itself after a
+// LocalSince returns the incarnations that reported to this instance itself after a
 // revision: those whose state changed, and those that were only renewed.
-func (d *Directory) Heard(revision uint64, now int64) (changed []catkinrail.Incarnation, renewed []catkinrail.Incarnation) {
+func (d *Directory) LocalSince(revision uint64, now int64) (changed []catkinrail.Incarnation, renewed []catkinrail.Incarnation) {
 	for _, e := range d.entries {
 		switch {
 		case !e.local || e.reportRevision <= revision:
