--- a/coordination/token/update.go
+++ b/coordination/token/update.go
@@ -9,8 +9,8 @@
 	"catkinrail.example/catkinrail"
 )
 
-// BackendState is an incarnation with what control has observed of it.
-type BackendState struct {
+// FollowedBackend is an incarnation with what control has observed of it.
+type FollowedBackend struct {
 	catkinrail.Incarnation
 	Silent bool
 }
@@ -56,7 +56,7 @@
 // Update applies the states of backend servers that control has sent, and returns
 // the backend servers that changed. States of ended incarnations are ignored; of an
 // outdated report, only Silent counts.
-func (e *Engine) Update(list []BackendState, now int64) []*Backend {
+func (e *Engine) Update(list []FollowedBackend, now int64) []*Backend {
 	var changed []*Backend
 	for i := range list {
 		in := &list[i]
@@ -81,7 +81,7 @@
 
 // endedBy reports whether known, the stored incarnation of the same name, shows that
 // the one in the update has ended.
-func (in *BackendState) endedBy(known *catkinrail.Incarnation) bool {
+func (in *FollowedBackend) endedBy(known *catkinrail.Incarnation) bool {
 	if in.Born != known.Born {
 		return in.Born < known.Born
 	}
@@ -91,7 +91,7 @@
 // apply applies a state sent by control. If its report isn't newer than the known
 // one, only Silent, which the sender observed itself, is updated. It reports whether
 // the backend server changed.
-func (b *Backend) apply(in *BackendState, now int64) bool {
+func (b *Backend) apply(in *FollowedBackend, now int64) bool {
 	before := *b
 	if in.Newer(&b.Incarnation) {
 		b.Incarnation = in.Incarnation
