--- a/control/core/core.go
+++ b/control/core/core.go
@@ -340,8 +340,8 @@
 
 // compact replaces the applied part of a long log by a snapshot.
 func (c *Core) compact() error {
-	applied := c.node.Applied()
-	if !c.cfg.Journal.Full() && c.node.LastIndex()-c.firstIndex() < maxLogEntries {
+	applied := c.node.AppliedIndex()
+	if !c.cfg.Journal.NeedsSnapshot() && c.node.LastIndex()-c.firstIndex() < maxLogEntries {
 		return nil
 	}
 	if applied == c.firstIndex() {
@@ -352,7 +352,7 @@
 		return err
 	}
 	s := c.node.Snapshot(data)
-	if err := c.cfg.Journal.SaveSnapshot(s, c.node.After(applied)); err != nil {
+	if err := c.cfg.Journal.SaveSnapshot(s, c.node.EntriesAfter(applied)); err != nil {
 		return err
 	}
 	c.node.Compact(s)
@@ -360,7 +360,7 @@
 }
 
 func (c *Core) firstIndex() uint64 {
-	return c.node.FirstIndex()
+	return c.node.SnapshotIndex()
 }
 
 // runLeader does the leader's work: it advances moves, removes silent members and
--- a/control/core/members.go
+++ b/control/core/members.go
@@ -85,13 +85,13 @@
 		next.Learners[req.Node] = true
 	case memberToReplace(m, req) != 0:
 		old := memberToReplace(m, req)
-		if m.Voter(old) && c.node.Match(req.Node)+maxPromotionLag < c.node.LastIndex() {
+		if m.Voter(old) && c.node.MatchIndex(req.Node)+maxPromotionLag < c.node.LastIndex() {
 			return ErrRetryLater
 		}
 		delete(next.Nodes, old)
 		delete(next.Learners, old)
 	default:
-		if c.node.Match(req.Node)+maxPromotionLag < c.node.LastIndex() {
+		if c.node.MatchIndex(req.Node)+maxPromotionLag < c.node.LastIndex() {
 			return ErrRetryLater
 		}
 		delete(next.Learners, req.Node)
