--- a/coordination/quorum/election.go
+++ b/coordination/quorum/election.go
@@ -8,18 +8,18 @@
 	}
 	switch m.Kind {
 	case PreVote, Vote:
-		n.answerVote(&m)
+		n.handleVoteRequest(&m)
 		return
 	case PreVoteAnswer:
-		n.countPreVote(&m)
+		n.handlePreVoteAnswer(&m)
 		return
 	}
 	if m.Term > n.hard.Term {
-		n.follow(m.Term, 0)
+		n.becomeFollower(m.Term, 0)
 	}
 	switch m.Kind {
 	case VoteAnswer:
-		n.countVote(&m)
+		n.handleVoteAnswer(&m)
 	case Append:
 		n.handleAppend(&m)
 	case AppendAnswer:
@@ -31,32 +31,35 @@
 	}
 }
 
-// follow makes the node a follower in the term.
-func (n *Node) follow(term uint64, leader NodeID) {
+// becomeFollower makes the node a follower in the term. The leader is zero if it
+// isn't known.
+func (n *Node) becomeFollower(term uint64, leader NodeID) {
 	if term > n.hard.Term {
 		n.hard = HardState{Term: term}
 	}
 	if n.role != Follower {
-		n.resetDeadline()
+		n.resetElectionDeadline()
 	}
 	n.role = Follower
 	n.leader = leader
 	n.votes, n.progress = nil, nil
 }
 
-// hearLeader notes a message of the term's leader.
-func (n *Node) hearLeader(m *Message) {
-	n.follow(m.Term, m.From)
-	n.heard = n.now
-	n.resetDeadline()
+// recordLeaderContact follows the sender of a leader's message and restarts the
+// election timeout.
+func (n *Node) recordLeaderContact(m *Message) {
+	n.becomeFollower(m.Term, m.From)
+	n.lastLeaderContact = n.now
+	n.resetElectionDeadline()
 }
 
-// campaign asks for votes. A pre-candidate asks whether it would get them and
-// leaves its term as it is, so that a node that was cut off disturbs nobody.
+// campaign requests votes as a pre-candidate or candidate. A pre-candidate asks
+// whether it would win and keeps its term, so that a node that was partitioned
+// doesn't disrupt the leader.
 func (n *Node) campaign(role Role) {
 	n.role = role
 	n.leader = 0
-	n.resetCampaign()
+	n.resetCampaignDeadline()
 	n.votes = map[NodeID]bool{n.id: true}
 	kind, term := PreVote, n.hard.Term+1
 	if role == Candidate {
@@ -75,12 +78,14 @@
 	}
 }
 
+// promote makes a pre-candidate with a majority a candidate, and a candidate with
+// a majority the leader.
 func (n *Node) promote() {
 	if n.role == PreCandidate {
 		n.campaign(Candidate)
 		return
 	}
-	n.lead()
+	n.becomeLeader()
 }
 
 func (n *Node) wonVote() bool {
@@ -93,10 +98,10 @@
 	return 2*granted > n.members.Voters()
 }
 
-// answerVote answers a candidate. While a leader may hold a lease that relies on
-// this node, every candidate is rejected.
-func (n *Node) answerVote(m *Message) {
-	leased := n.now-n.heard < int64(n.timing.Election) || n.role == Leader
+// handleVoteRequest answers a PreVote or Vote. While a leader may hold a lease
+// that relies on this node, every candidate is rejected.
+func (n *Node) handleVoteRequest(m *Message) {
+	leased := n.now-n.lastLeaderContact < int64(n.timing.Election) || n.role == Leader
 	kind := VoteAnswer
 	if m.Kind == PreVote {
 		kind = PreVoteAnswer
@@ -108,62 +113,62 @@
 	if m.Kind == PreVote {
 		answer := Message{Kind: kind, To: m.From, Term: m.Term}
 		if m.Term <= n.hard.Term || !n.log.upToDate(m.Index, m.LogTerm) {
-			// A rejection carries this node's own term: the candidate's is only one
-			// that it asks about, and must not come back to it as a later one.
+			// A rejection carries this node's own term: the candidate would take
+			// the proposed term for a later one and adopt it.
 			answer.Term, answer.Reject = n.hard.Term, true
 		}
 		n.send(answer)
 		return
 	}
 	if m.Term > n.hard.Term {
-		n.follow(m.Term, 0)
+		n.becomeFollower(m.Term, 0)
 	}
 	free := n.hard.Vote == 0 || n.hard.Vote == m.From
 	grant := free && n.log.upToDate(m.Index, m.LogTerm)
 	if grant {
 		n.hard.Vote = m.From
-		n.resetDeadline()
+		n.resetElectionDeadline()
 	}
 	n.send(Message{Kind: kind, To: m.From, Term: n.hard.Term, Reject: !grant})
 }
 
-func (n *Node) countPreVote(m *Message) {
+func (n *Node) handlePreVoteAnswer(m *Message) {
 	if m.Reject {
 		if m.Term > n.hard.Term {
-			n.follow(m.Term, 0)
+			n.becomeFollower(m.Term, 0)
 		}
 		return
 	}
 	if n.role == PreCandidate && m.Term == n.hard.Term+1 {
-		n.count(m)
+		n.recordVote(m)
 	}
 }
 
-func (n *Node) countVote(m *Message) {
+func (n *Node) handleVoteAnswer(m *Message) {
 	if n.role == Candidate && m.Term == n.hard.Term && !m.Reject {
-		n.count(m)
+		n.recordVote(m)
 	}
 }
 
-func (n *Node) count(m *Message) {
+func (n *Node) recordVote(m *Message) {
 	n.votes[m.From] = true
 	if n.wonVote() {
 		n.promote()
 	}
 }
 
-// lead makes the node the leader of its term.
-func (n *Node) lead() {
+// becomeLeader makes the node the leader of its term.
+func (n *Node) becomeLeader() {
 	n.role = Leader
 	n.leader = n.id
 	n.votes = nil
-	n.elected = n.now
+	n.electedAt = n.now
 	n.progress = map[NodeID]*progress{}
 	for id := range n.members.Nodes {
 		n.progress[id] = &progress{next: n.log.last() + 1}
 	}
-	n.beat = n.now + int64(n.timing.Heartbeat)
-	// Entries of earlier terms are committed by committing one of this term.
+	n.nextHeartbeat = n.now + int64(n.timing.Heartbeat)
+	// Entries of earlier terms are only committed together with one of this term.
 	if _, _, err := n.propose(Entry{Kind: EntryNoop}); err != nil {
 		panic(err)
 	}
--- a/coordination/quorum/log.go
+++ b/coordination/quorum/log.go
@@ -1,13 +1,13 @@
 package quorum
 
-// log holds the entries after the last snapshot. The entry at offset zero
-// stands for the snapshot.
+// log holds the entries after the last snapshot. entries[0] is a placeholder with
+// the snapshot's index and term.
 type log struct {
 	entries []Entry
-	// unstable is the index from which entries have not been handed out to be
-	// written yet.
+	// unstable is the index of the first entry that Ready has not returned yet.
 	unstable uint64
-	// stable is the index up to which entries are on disk.
+	// stable is the index of the last entry on disk, including those that Ready
+	// has returned for writing.
 	stable  uint64
 	commit  uint64
 	applied uint64
@@ -21,46 +21,47 @@
 	return l
 }
 
-func (l *log) first() uint64 {
+// snapshotIndex returns the index of the last entry that the snapshot covers.
+func (l *log) snapshotIndex() uint64 {
 	return l.entries[0].Index
 }
 
 func (l *log) last() uint64 {
-	return l.first() + uint64(len(l.entries)) - 1
+	return l.snapshotIndex() + uint64(len(l.entries)) - 1
 }
 
-// term returns the term of the entry, if the log still knows it.
+// term returns the term of an entry, and whether the log still has it.
 func (l *log) term(index uint64) (uint64, bool) {
-	if index < l.first() || index > l.last() {
+	if index < l.snapshotIndex() || index > l.last() {
 		return 0, false
 	}
-	return l.entries[index-l.first()].Term, true
+	return l.entries[index-l.snapshotIndex()].Term, true
 }
 
-// slice returns up to limit entries from an index on.
+// slice returns a copy of up to limit entries, starting at index from.
 func (l *log) slice(from uint64, limit int) []Entry {
-	if from <= l.first() || from > l.last() {
+	if from <= l.snapshotIndex() || from > l.last() {
 		return nil
 	}
-	part := l.entries[from-l.first():]
+	part := l.entries[from-l.snapshotIndex():]
 	if len(part) > limit {
 		part = part[:limit]
 	}
 	return append([]Entry(nil), part...)
 }
 
-// append adds entries that follow index prev and cuts off what conflicts with
-// them. Entries that are there already stay.
+// append adds consecutive entries and truncates the log at the first entry that
+// conflicts with them. Entries that the log already has are kept.
 func (l *log) append(entries []Entry) {
 	for i := range entries {
 		e := &entries[i]
 		if t, ok := l.term(e.Index); ok && t == e.Term {
 			continue
 		}
-		if e.Index <= l.first() {
+		if e.Index <= l.snapshotIndex() {
 			continue
 		}
-		l.entries = append(l.entries[:e.Index-l.first()], entries[i:]...)
+		l.entries = append(l.entries[:e.Index-l.snapshotIndex()], entries[i:]...)
 		l.unstable = min(l.unstable, e.Index)
 		l.stable = min(l.stable, e.Index-1)
 		return
@@ -72,18 +73,18 @@
 	*l = newLog(s, nil)
 }
 
-// compact drops the entries up to index.
+// compact drops the entries up to and including index.
 func (l *log) compact(index uint64) {
 	t, ok := l.term(index)
-	if !ok || index == l.first() {
+	if !ok || index == l.snapshotIndex() {
 		return
 	}
-	rest := append([]Entry{{Index: index, Term: t}}, l.entries[index-l.first()+1:]...)
+	rest := append([]Entry{{Index: index, Term: t}}, l.entries[index-l.snapshotIndex()+1:]...)
 	l.entries = rest
 }
 
 // upToDate reports whether a log that ends with the given entry is at least as
-// complete as this one.
+// up to date as this one.
 func (l *log) upToDate(index, term uint64) bool {
 	own, _ := l.term(l.last())
 	return term > own || (term == own && index >= l.last())
--- a/coordination/quorum/message.go
+++ b/coordination/quorum/message.go
@@ -1,7 +1,7 @@
-// Package quorum agrees on a log of entries among control instances: one leader
-// at a time, entries committed by a majority, and leases that tell a leader
-// whether it is still the only one. It is pure step logic: messages and times
-// go in; messages, writes and committed entries come out.
+// Package quorum replicates a log of entries among control instances, as Raft
+// does: one leader at a time, entries committed by a majority, and leases that
+// tell a leader whether it is still the only one. It does no I/O: messages and
+// times go in; messages, writes and committed entries come out.
 package quorum
 
 import (
@@ -9,20 +9,20 @@
 	"slices"
 )
 
-// NodeID identifies a control instance. One that lost its disk comes back under
-// another identifier.
+// NodeID identifies a control instance. An instance that lost its disk rejoins
+// with a new identifier.
 type NodeID uint64
 
-// EntryKind says what an entry of the log holds.
+// EntryKind is the type of a log entry.
 type EntryKind uint8
 
-// Kinds of entries.
+// Entry kinds.
 const (
-	// EntryData holds a change of the agreed state.
+	// EntryData holds a change of the replicated state.
 	EntryData EntryKind = iota
-	// EntryNoop is what a new leader commits first.
+	// EntryNoop is empty; a new leader appends it first.
 	EntryNoop
-	// EntryMembers holds the members from here on.
+	// EntryMembers holds the members in force from this entry on.
 	EntryMembers
 )
 
@@ -36,21 +36,21 @@
 	Members *Members `cbor:"5,keyasint,omitempty"`
 }
 
-// Members lists the control instances.
+// Members is the membership of the quorum.
 type Members struct {
-	// Nodes gives the name and address of each.
+	// Nodes holds all members, including learners.
 	Nodes map[NodeID]Peer `cbor:"1,keyasint"`
 	// Learners receive the log but have no vote.
 	Learners map[NodeID]bool `cbor:"2,keyasint,omitempty"`
 }
 
-// Peer is how to reach a control instance.
+// Peer holds the name, addresses and zone of a control instance.
 type Peer struct {
 	Name string `cbor:"1,keyasint"`
 	Addr string `cbor:"2,keyasint"`
-	// Zone is the availability zone, if the instance told it.
+	// Zone is the availability zone, if the instance reported one.
 	Zone string `cbor:"3,keyasint,omitempty"`
-	// Public is where backend servers and operators reach it, if anywhere.
+	// Public is the address for backend servers and operators, if there is one.
 	Public string `cbor:"4,keyasint,omitempty"`
 }
 
@@ -65,12 +65,12 @@
 	return len(m.Nodes) - len(m.Learners)
 }
 
-// sorted returns the nodes in order, so that a run can be repeated exactly.
+// sorted returns the nodes in ascending order, which keeps runs reproducible.
 func (m *Members) sorted() []NodeID {
 	return slices.Sorted(maps.Keys(m.Nodes))
 }
 
-// Clone returns a copy that may be changed.
+// Clone returns a deep copy.
 func (m *Members) Clone() *Members {
 	c := &Members{Nodes: map[NodeID]Peer{}, Learners: map[NodeID]bool{}}
 	for id, p := range m.Nodes {
@@ -82,10 +82,10 @@
 	return c
 }
 
-// Kind says what a message is about.
+// Kind is the type of a message.
 type Kind uint8
 
-// Kinds of messages.
+// Message kinds.
 const (
 	PreVote Kind = iota + 1
 	PreVoteAnswer
@@ -106,27 +106,28 @@
 	return names[k]
 }
 
-// Message is sent between nodes.
+// Message is a message from one node to another.
 type Message struct {
 	Kind Kind   `cbor:"1,keyasint"`
 	From NodeID `cbor:"2,keyasint"`
 	To   NodeID `cbor:"3,keyasint"`
 	Term uint64 `cbor:"4,keyasint"`
-	// Index and LogTerm name the last entry of a candidate, the entry before an
-	// Append's entries, the last entry that an answer confirms, or the last entry
-	// that a snapshot covers.
+	// Index and LogTerm identify the last entry of a candidate, the entry before
+	// an Append's entries, or the last entry that a snapshot covers. In an answer,
+	// Index is the last entry that it confirms or, with Reject, the index at or
+	// before which the leader should look for a matching entry.
 	Index   uint64  `cbor:"5,keyasint,omitempty"`
 	LogTerm uint64  `cbor:"6,keyasint,omitempty"`
 	Entries []Entry `cbor:"7,keyasint,omitempty"`
 	Commit  uint64  `cbor:"8,keyasint,omitempty"`
 	Reject  bool    `cbor:"9,keyasint,omitempty"`
-	// Sent is the leader's time of sending, returned by the answer.
+	// Sent is the leader's time of sending in nanoseconds; answers return it.
 	Sent int64 `cbor:"10,keyasint,omitempty"`
 	// Snapshot is set for Install.
 	Snapshot *Snapshot `cbor:"11,keyasint,omitempty"`
 }
 
-// Snapshot stands for all entries up to Index.
+// Snapshot replaces all entries up to and including Index.
 type Snapshot struct {
 	Index   uint64  `cbor:"1,keyasint"`
 	Term    uint64  `cbor:"2,keyasint"`
@@ -134,17 +135,18 @@
 	Data    []byte  `cbor:"4,keyasint"`
 }
 
-// HardState must be on disk before a message that depends on it is sent.
+// HardState is the state that must be on disk before a message that depends on it
+// is sent.
 type HardState struct {
 	Term uint64 `cbor:"1,keyasint"`
 	Vote NodeID `cbor:"2,keyasint,omitempty"`
 }
 
-// Ready is what the caller must do, in the order of the fields.
+// Ready is the work that the caller must do, in the order of the fields.
 type Ready struct {
 	// HardState must be written if it isn't nil.
 	HardState *HardState
-	// Snapshot must be written and taken over, if it isn't nil.
+	// Snapshot must be written and its state restored if it isn't nil.
 	Snapshot *Snapshot
 	// Entries must be written. They replace entries of the same or a higher
 	// index that were written before.
--- a/coordination/quorum/node.go
+++ b/coordination/quorum/node.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Role is what a node does at present.
+// Role is a node's role in the quorum.
 type Role uint8
 
 // Roles.
@@ -24,122 +24,129 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Timing sets the node's intervals.
+// Timing sets a node's intervals and timeouts.
 type Timing struct {
-	// Heartbeat is the interval between a leader's messages.
+	// Heartbeat is the interval at which a leader sends to every other node.
 	Heartbeat time.Duration
-	// Election is the least time without a leader's message after which a node
-	// stands for election; the greatest is twice as long. It also bounds the
-	// leader's lease.
+	// Election is the minimum time without a leader's message after which a node
+	// campaigns; the actual time is random and less than twice as long. It also
+	// bounds the leader's lease.
 	Election time.Duration
-	// NoLease says that nobody relies on a leader's lease. A node that restarted
-	// then votes and stands at once, which shortens the way back after a loss of
-	// all nodes.
+	// NoLease says that nothing relies on a leader's lease. A restarted node then
+	// votes at once and campaigns early, which shortens the recovery after all
+	// nodes have stopped.
 	NoLease bool
 }
 
 // DefaultTiming suits availability zones a few milliseconds apart.
 var DefaultTiming = Timing{Heartbeat: 60 * time.Millisecond, Election: 400 * time.Millisecond}
 
-// Limits of messages.
+// Limits of messages and timing.
 const (
+	// maxAppendEntries is the maximum number of entries in an Append.
 	maxAppendEntries = 256
-	// driftPercent is the deviation of clock rates that leases allow for.
-	driftPercent = 10
-	// startDivisor sets the least time after a start at which a node without
-	// leases stands for election to a part of the usual one: nodes that start
-	// together must find each other first.
-	startDivisor = 8
-	// campaignDivisor sets the least time between two campaigns of a candidate.
+	// maxClockDriftPercent is the difference in clock rates that leases allow for.
+	maxClockDriftPercent = 10
+	// startupElectionDivisor divides the election timeout to give the minimum time
+	// after its start at which a node without leases campaigns: nodes that start
+	// together must connect first.
+	startupElectionDivisor = 8
+	// campaignDivisor divides the election timeout to give the minimum time between
+	// two campaigns of a candidate.
 	campaignDivisor = 4
 )
 
-// Errors of Propose and ChangeMembers. The entry is not in the log.
+// Errors of Propose, ChangeMembers and BeginRead. Nothing was appended to the log.
 var (
 	ErrNotLeader     = errors.New("not the leader")
 	ErrMembersChange = errors.New("another change of members is under way")
 )
 
-// Node is one member. It isn't safe for concurrent use.
+// Node is one member of the quorum. It isn't safe for concurrent use.
 type Node struct {
 	id     NodeID
 	timing Timing
 	rng    *rand.Rand
 
-	hard    HardState
+	hard HardState
+	// saved is the hard state that was loaded or that Ready returned last.
 	saved   HardState
 	log     log
 	role    Role
 	leader  NodeID
 	members *Members
-	// membersAt is the index of the entry that set members.
-	membersAt uint64
+	// membersIndex is the index of the entry that set members.
+	membersIndex uint64
 
 	now int64
-	// heard is the time of the last message from a leader, or of the start: a
-	// node that restarted may have promised a leader its time.
-	heard int64
-	// synced is the time of the last message of a leader that left nothing to
-	// fetch.
-	synced   int64
-	deadline int64
-	beat     int64
-	// elected is the time at which the node became leader.
-	elected  int64
-	votes    map[NodeID]bool
-	progress map[NodeID]*progress
-	messages []Message
-	snapshot *Snapshot
-	// install is a snapshot that was received and not handed out yet.
-	install *Snapshot
+	// lastLeaderContact is the time of the last message from a leader, or of the
+	// start: a leader may hold a lease that relies on this node from before its
+	// restart.
+	lastLeaderContact int64
+	// synced is the time of the last leader's message after which the node had all
+	// that the leader had committed.
+	synced int64
+	// deadline is the time at which the node campaigns next.
+	deadline      int64
+	nextHeartbeat int64
+	// electedAt is the time at which the node became leader.
+	electedAt int64
+	votes     map[NodeID]bool
+	progress  map[NodeID]*progress
+	messages  []Message
+	snapshot  *Snapshot
+	// receivedSnapshot is a leader's snapshot that Ready has not returned yet.
+	receivedSnapshot *Snapshot
 }
 
-// progress is what a leader knows of another node.
+// progress is a leader's record of another node.
 type progress struct {
 	match, next uint64
-	// acked is the sending time of the last message that the node answered.
+	// acked is the sending time of the latest message that the node answered.
 	acked int64
-	// installing is the time at which a snapshot was sent.
-	installing int64
-	// added is the time at which the node became known to the leader.
-	added int64
+	// snapshotSentAt is the time at which a snapshot was sent, or zero if none is
+	// pending.
+	snapshotSentAt int64
+	// addedAt is the time at which the node was added, or zero if it was a member
+	// when the leader was elected.
+	addedAt int64
 }
 
-// Stored is what a node finds on its disk.
+// Stored is the state that a node reads from its disk.
 type Stored struct {
 	HardState HardState
 	Snapshot  Snapshot
 	Entries   []Entry
 }
 
-// New returns a node that continues from what is on its disk.
+// New returns a node that continues from its stored state.
 func New(id NodeID, timing Timing, seed uint64, stored Stored, now int64) *Node {
 	n := &Node{
 		id: id, timing: timing, rng: rand.New(rand.NewPCG(seed, uint64(id))),
 		hard: stored.HardState, saved: stored.HardState,
-		log: newLog(&stored.Snapshot, stored.Entries), now: now, heard: now,
+		log: newLog(&stored.Snapshot, stored.Entries), now: now, lastLeaderContact: now,
 	}
 	n.snapshot = &stored.Snapshot
 	n.refreshMembers()
-	n.resetDeadline()
+	n.resetElectionDeadline()
 	if timing.NoLease {
-		n.heard = now - int64(timing.Election)
-		span := int64(timing.Election) / startDivisor
+		n.lastLeaderContact = now - int64(timing.Election)
+		span := int64(timing.Election) / startupElectionDivisor
 		n.deadline = now + span + n.rng.Int64N(2*span)
 	}
 	return n
 }
 
-// refreshMembers takes over the latest members in the log. They are in force
-// from the moment they are appended, and no longer once they are cut off.
+// refreshMembers applies the latest members in the log. Members take effect when
+// their entry is appended, and are reverted when it is truncated.
 func (n *Node) refreshMembers() {
-	n.members, n.membersAt = n.membersUpTo(n.log.last())
+	n.members, n.membersIndex = n.membersUpTo(n.log.last())
 	if n.role != Leader {
 		return
 	}
 	for id := range n.members.Nodes {
 		if n.progress[id] == nil {
-			n.progress[id] = &progress{next: n.log.last() + 1, added: n.now}
+			n.progress[id] = &progress{next: n.log.last() + 1, addedAt: n.now}
 		}
 	}
 	for id := range n.progress {
@@ -152,10 +159,10 @@
 // ID returns the node's identifier.
 func (n *Node) ID() NodeID { return n.id }
 
-// Role returns the node's present role.
+// Role returns the node's current role.
 func (n *Node) Role() Role { return n.role }
 
-// Term returns the present term.
+// Term returns the current term.
 func (n *Node) Term() uint64 { return n.hard.Term }
 
 // LeaderID returns the leader of the term, or zero if it isn't known.
@@ -170,7 +177,8 @@
 // Commit returns the index of the last committed entry.
 func (n *Node) Commit() uint64 { return n.log.commit }
 
-// Match returns the index up to which another node's log is known to agree.
+// Match returns, on the leader, the index up to which another node's log is known
+// to match its own.
 func (n *Node) Match(id NodeID) uint64 {
 	if p := n.progress[id]; p != nil {
 		return p.match
@@ -178,15 +186,15 @@
 	return 0
 }
 
-func (n *Node) resetDeadline() {
+func (n *Node) resetElectionDeadline() {
 	span := int64(n.timing.Election)
 	n.deadline = n.now + span + n.rng.Int64N(span)
 }
 
-// resetCampaign sets when a candidate asks again. Answers come within
-// milliseconds, so that it need not wait as long as for a leader; chance keeps
-// candidates that split the votes apart.
-func (n *Node) resetCampaign() {
+// resetCampaignDeadline sets when a candidate campaigns again. Answers arrive
+// within milliseconds, so it waits less than for a leader. The wait is random, so
+// that candidates that split the vote don't campaign together again.
+func (n *Node) resetCampaignDeadline() {
 	span := int64(n.timing.Election) / campaignDivisor
 	n.deadline = n.now + span + n.rng.Int64N(2*span)
 }
@@ -203,7 +211,7 @@
 	return now < n.leaseEnd()
 }
 
-// leaseEnd returns the time up to which a majority will elect no other leader.
+// leaseEnd returns the time until which a majority will elect no other leader.
 func (n *Node) leaseEnd() int64 {
 	acked := n.quorumValue(func(id NodeID) int64 {
 		if id == n.id {
@@ -211,10 +219,10 @@
 		}
 		return n.progress[id].acked
 	})
-	return acked + int64(n.timing.Election)*(100-driftPercent)/100
+	return acked + int64(n.timing.Election)*(100-maxClockDriftPercent)/100
 }
 
-// quorumValue returns the greatest value that a majority of voters reaches.
+// quorumValue returns the greatest value that a majority of voters has reached.
 func (n *Node) quorumValue(value func(NodeID) int64) int64 {
 	var list []int64
 	for id := range n.members.Nodes {
@@ -229,7 +237,7 @@
 	return list[(len(list)-1)/2]
 }
 
-// Tick tells the node the time.
+// Tick advances the node's time and sends a heartbeat or campaigns if it is due.
 func (n *Node) Tick(now int64) {
 	n.now = max(n.now, now)
 	if n.role == Leader {
@@ -242,19 +250,19 @@
 }
 
 func (n *Node) tickLeader() {
-	if n.now >= n.beat {
-		n.beat = n.now + int64(n.timing.Heartbeat)
+	if n.now >= n.nextHeartbeat {
+		n.nextHeartbeat = n.now + int64(n.timing.Heartbeat)
 		n.broadcast()
 	}
-	// A leader without a majority steps down, so that its callers look elsewhere.
-	if n.now > max(n.leaseEnd(), n.elected)+int64(n.timing.Election) {
-		n.follow(n.hard.Term, 0)
+	// A leader out of contact with a majority steps down, so that its clients look
+	// for another.
+	if n.now > max(n.leaseEnd(), n.electedAt)+int64(n.timing.Election) {
+		n.becomeFollower(n.hard.Term, 0)
 	}
 }
 
-// Propose appends data to the log and returns its index. Only the entry's
-// appearance among committed entries, with the same term, tells that it is in
-// force.
+// Propose appends data to the log and returns the entry's index and term. The
+// entry is committed only once Ready returns it in Committed with the same term.
 func (n *Node) Propose(data []byte) (index, term uint64, err error) {
 	return n.propose(Entry{Kind: EntryData, Data: data})
 }
@@ -272,16 +280,18 @@
 	return e.Index, e.Term, nil
 }
 
-// ChangeMembers proposes members that differ from those in force by one node.
+// ChangeMembers proposes members that differ from those in force by at most one
+// voter. It returns ErrMembersChange until the previous change and an entry of the
+// current term are committed.
 func (n *Node) ChangeMembers(m *Members) error {
 	if n.role != Leader {
 		return ErrNotLeader
 	}
-	if n.membersAt > n.log.commit || !n.committedOwnTerm() {
+	if n.membersIndex > n.log.commit || !n.committedOwnTerm() {
 		return ErrMembersChange
 	}
-	if d := difference(n.members, m); d > 1 {
-		return fmt.Errorf("members differ by %d nodes, not 1", d)
+	if d := voterDifference(n.members, m); d > 1 {
+		return fmt.Errorf("change affects %d voters; at most 1 may change at a time", d)
 	}
 	_, _, err := n.propose(Entry{Kind: EntryMembers, Members: m})
 	return err
@@ -292,8 +302,8 @@
 	return t == n.hard.Term
 }
 
-// difference counts the nodes that are a voter in one of the sets only.
-func difference(a, b *Members) int {
+// voterDifference counts the nodes that are a voter in only one of a and b.
+func voterDifference(a, b *Members) int {
 	d := 0
 	for id := range a.Nodes {
 		if a.Voter(id) != b.Voter(id) {
@@ -317,16 +327,15 @@
 // membersUpTo returns the members in force at the entry, and the index of the
 // entry that set them.
 func (n *Node) membersUpTo(index uint64) (*Members, uint64) {
-	for i := index; i > n.log.first(); i-- {
-		if e := &n.log.entries[i-n.log.first()]; e.Kind == EntryMembers {
+	for i := index; i > n.log.snapshotIndex(); i-- {
+		if e := &n.log.entries[i-n.log.snapshotIndex()]; e.Kind == EntryMembers {
 			return e.Members.Clone(), i
 		}
 	}
 	return n.snapshot.Members.Clone(), n.snapshot.Index
 }
 
-// Snapshot returns a snapshot of everything that was applied, given the state's
-// encoding.
+// Snapshot returns a snapshot of all applied entries. Data is the encoded state.
 func (n *Node) Snapshot(data []byte) *Snapshot {
 	term, _ := n.log.term(n.log.applied)
 	members, _ := n.membersUpTo(n.log.applied)
@@ -342,12 +351,12 @@
 		r.HardState = &h
 		n.saved = n.hard
 	}
-	r.Snapshot, n.install = n.install, nil
+	r.Snapshot, n.receivedSnapshot = n.receivedSnapshot, nil
 	if n.log.unstable <= n.log.last() {
 		r.Entries = n.log.slice(n.log.unstable, len(n.log.entries))
 		n.log.unstable = n.log.last() + 1
 	}
-	// What this call hands out is on disk before anything depends on it.
+	// The caller writes these entries before it sends or applies anything.
 	n.log.stable = n.log.last()
 	if n.role == Leader {
 		n.advanceCommit()
@@ -360,14 +369,13 @@
 	return r
 }
 
-// After returns the entries that follow the given index.
+// After returns the entries after the given index.
 func (n *Node) After(index uint64) []Entry {
 	return n.log.slice(index+1, len(n.log.entries))
 }
 
-// Applied returns the index of the last entry that was handed out to be
-// applied.
+// Applied returns the index of the last entry that Ready returned in Committed.
 func (n *Node) Applied() uint64 { return n.log.applied }
 
-// FirstIndex returns the index that the latest snapshot covers.
-func (n *Node) FirstIndex() uint64 { return n.log.first() }
+// FirstIndex returns the index of the last entry that the latest snapshot covers.
+func (n *Node) FirstIndex() uint64 { return n.log.snapshotIndex() }
--- a/coordination/quorum/quorum_test.go
+++ b/coordination/quorum/quorum_test.go
@@ -15,48 +15,50 @@
 	"catkinrail.example/catkinrail/state/journal"
 )
 
-// member is a node with its disk.
+// member is a simulated node with its disk.
 type member struct {
-	id   quorum.NodeID
-	node *quorum.Node
-	disk *fake.Disk
-	j    *journal.Journal
+	id      quorum.NodeID
+	node    *quorum.Node
+	disk    *fake.Disk
+	journal *journal.Journal
 	// rate is the rate of the member's clock.
-	rate    float64
-	down    bool
-	applied []quorum.Entry
-	base    uint64
+	rate          float64
+	down          bool
+	applied       []quorum.Entry
+	snapshotIndex uint64
 }
 
-// group is a set of members on a network that loses, delays and reorders.
-type group struct {
-	t       require.TestingT
-	rng     *rand.Rand
-	now     int64
-	members map[quorum.NodeID]*member
-	order   []quorum.NodeID
-	wire    []quorum.Message
-	cut     map[[2]quorum.NodeID]bool
-	// committed is what any member has reported as committed.
+// testGroup simulates a quorum whose network loses, delays and reorders messages.
+type testGroup struct {
+	t           require.TestingT
+	rng         *rand.Rand
+	now         int64
+	members     map[quorum.NodeID]*member
+	order       []quorum.NodeID
+	inFlight    []quorum.Message
+	partitioned map[[2]quorum.NodeID]bool
+	// committed holds, by index, the entries that any member has reported as
+	// committed.
 	committed map[uint64]quorum.Entry
-	loss      float64
-	seed      uint64
-	timing    quorum.Timing
-	// leaders gives the member that was first seen leading in each term.
-	leaders map[uint64]quorum.NodeID
+	// loss is the probability that a message is lost.
+	loss   float64
+	seed   uint64
+	timing quorum.Timing
+	// leaderByTerm holds the member that was first seen leading in each term.
+	leaderByTerm map[uint64]quorum.NodeID
 }
 
-const step = int64(5 * time.Millisecond)
+const tickInterval = int64(5 * time.Millisecond)
 
-func newGroup(t require.TestingT, n int, seed uint64, loss float64) *group {
-	return newGroupWith(t, n, seed, loss, quorum.DefaultTiming)
+func newTestGroup(t require.TestingT, n int, seed uint64, loss float64) *testGroup {
+	return newTestGroupWithTiming(t, n, seed, loss, quorum.DefaultTiming)
 }
 
-func newGroupWith(t require.TestingT, n int, seed uint64, loss float64, timing quorum.Timing) *group {
-	g := &group{
+func newTestGroupWithTiming(t require.TestingT, n int, seed uint64, loss float64, timing quorum.Timing) *testGroup {
+	g := &testGroup{
 		t: t, timing: timing, rng: rand.New(rand.NewPCG(seed, 7)), now: int64(time.Hour), members: map[quorum.NodeID]*member{},
-		cut: map[[2]quorum.NodeID]bool{}, committed: map[uint64]quorum.Entry{}, loss: loss, seed: seed,
-		leaders: map[uint64]quorum.NodeID{},
+		partitioned: map[[2]quorum.NodeID]bool{}, committed: map[uint64]quorum.Entry{}, loss: loss, seed: seed,
+		leaderByTerm: map[uint64]quorum.NodeID{},
 	}
 	list := quorum.Members{Nodes: map[quorum.NodeID]quorum.Peer{}}
 	for i := 1; i <= n; i++ {
@@ -68,7 +70,7 @@
 	return g
 }
 
-func (g *group) add(id quorum.NodeID, list *quorum.Members) {
+func (g *testGroup) add(id quorum.NodeID, list *quorum.Members) {
 	m := &member{id: id, disk: fake.NewDisk(), rate: 1 + 0.04*(g.rng.Float64()-0.5)}
 	g.members[id] = m
 	g.order = append(g.order, id)
@@ -80,37 +82,37 @@
 	g.start(m)
 }
 
-// start starts a member from its disk. If the machine crashes again meanwhile, the
+// start starts a member from its disk. If an injected crash interrupts it, the
 // member stays down.
-func (g *group) start(m *member) {
+func (g *testGroup) start(m *member) {
 	j, stored, err := journal.Open(m.disk)
 	if errors.Is(err, fake.ErrCrashed) {
 		g.crash(m)
 		return
 	}
 	require.NoError(g.t, err)
-	m.j, m.down = j, false
-	m.node = quorum.New(m.id, g.timing, g.rng.Uint64(), stored, g.local(m))
-	m.base = stored.Snapshot.Index
+	m.journal, m.down = j, false
+	m.node = quorum.New(m.id, g.timing, g.rng.Uint64(), stored, g.localTime(m))
+	m.snapshotIndex = stored.Snapshot.Index
 	m.applied = nil
 }
 
-func (g *group) local(m *member) int64 {
+func (g *testGroup) localTime(m *member) int64 {
 	return int64(float64(g.now) * m.rate)
 }
 
-func (g *group) crash(m *member) {
+func (g *testGroup) crash(m *member) {
 	m.down = true
 	m.disk.Crash(g.rng)
 }
 
-// run advances the group.
-func (g *group) run(d time.Duration) {
-	for end := g.now + int64(d); g.now < end; g.now += step {
+// run advances the simulated time by d.
+func (g *testGroup) run(d time.Duration) {
+	for end := g.now + int64(d); g.now < end; g.now += tickInterval {
 		for _, id := range g.order {
 			if m := g.members[id]; !m.down {
-				m.node.Tick(g.local(m))
-				g.ready(m)
+				m.node.Tick(g.localTime(m))
+				g.processReady(m)
 			}
 		}
 		g.deliver()
@@ -118,76 +120,79 @@
 	}
 }
 
-// deliver hands over a random part of the messages in a random order.
-func (g *group) deliver() {
-	g.rng.Shuffle(len(g.wire), func(i, j int) { g.wire[i], g.wire[j] = g.wire[j], g.wire[i] })
-	n := len(g.wire) - len(g.wire)/4
-	now := g.wire[:n]
-	g.wire = append([]quorum.Message(nil), g.wire[n:]...)
+// deliver delivers about three quarters of the messages in flight, in random
+// order.
+func (g *testGroup) deliver() {
+	g.rng.Shuffle(len(g.inFlight), func(i, j int) { g.inFlight[i], g.inFlight[j] = g.inFlight[j], g.inFlight[i] })
+	n := len(g.inFlight) - len(g.inFlight)/4
+	now := g.inFlight[:n]
+	g.inFlight = append([]quorum.Message(nil), g.inFlight[n:]...)
 	for _, msg := range now {
 		to := g.members[msg.To]
-		if to == nil || to.down || g.cut[[2]quorum.NodeID{msg.From, msg.To}] || g.rng.Float64() < g.loss {
+		if to == nil || to.down || g.partitioned[[2]quorum.NodeID{msg.From, msg.To}] || g.rng.Float64() < g.loss {
 			continue
 		}
-		to.node.Step(msg, g.local(to))
-		g.ready(to)
+		to.node.Step(msg, g.localTime(to))
+		g.processReady(to)
 	}
 }
 
-func (g *group) ready(m *member) {
+func (g *testGroup) processReady(m *member) {
 	for {
 		r := m.node.Ready()
 		if r.Empty() {
 			return
 		}
-		if !g.save(m, &r) {
+		if !g.saveReady(m, &r) {
 			g.crash(m)
 			return
 		}
-		g.wire = append(g.wire, r.Messages...)
+		g.inFlight = append(g.inFlight, r.Messages...)
 		for _, e := range r.Committed {
-			g.commit(m, e)
+			g.checkCommitted(m, e)
 		}
 	}
 }
 
-func (g *group) save(m *member, r *quorum.Ready) bool {
-	if m.j.Save(r.HardState, nil) != nil {
+func (g *testGroup) saveReady(m *member, r *quorum.Ready) bool {
+	if m.journal.Save(r.HardState, nil) != nil {
 		return false
 	}
 	if r.Snapshot != nil {
-		if m.j.SaveSnapshot(r.Snapshot, nil) != nil {
+		if m.journal.SaveSnapshot(r.Snapshot, nil) != nil {
 			return false
 		}
-		m.base, m.applied = r.Snapshot.Index, nil
+		m.snapshotIndex, m.applied = r.Snapshot.Index, nil
 	}
-	return m.j.Save(nil, r.Entries) == nil
+	return m.journal.Save(nil, r.Entries) == nil
 }
 
-// commit checks that no two members ever apply different entries.
-func (g *group) commit(m *member, e quorum.Entry) {
+// checkCommitted checks that a member applies entries in order, and that no two
+// members apply different entries at an index.
+func (g *testGroup) checkCommitted(m *member, e quorum.Entry) {
 	m.applied = append(m.applied, e)
-	require.Equal(g.t, m.base+uint64(len(m.applied)), e.Index, "entries are applied in order")
+	require.Equal(g.t, m.snapshotIndex+uint64(len(m.applied)), e.Index, "entries are applied in order")
 	if old, ok := g.committed[e.Index]; ok {
-		require.Equal(g.t, old, e, "entry %d was committed with another content", e.Index)
+		require.Equal(g.t, old, e, "entry %d was committed with different content", e.Index)
 	}
 	g.committed[e.Index] = e
 }
 
-// checkLeaders checks that at most one member believes that it leads.
-func (g *group) checkLeaders() {
+// checkLeaders checks that at most one member leads in each term and, with leases,
+// that at most one member leads at a time.
+func (g *testGroup) checkLeaders() {
 	var leading []quorum.NodeID
 	for _, id := range g.order {
 		m := g.members[id]
-		if m.down || !m.node.Leading(g.local(m)) {
+		if m.down || !m.node.Leading(g.localTime(m)) {
 			continue
 		}
 		leading = append(leading, id)
 		term := m.node.Term()
-		if first, ok := g.leaders[term]; ok {
+		if first, ok := g.leaderByTerm[term]; ok {
 			require.Equal(g.t, first, id, "two leaders in term %d", term)
 		}
-		g.leaders[term] = id
+		g.leaderByTerm[term] = id
 	}
 	if g.timing.NoLease {
 		return
@@ -195,40 +200,40 @@
 	require.LessOrEqual(g.t, len(leading), 1, "leaders with a lease: %v", leading)
 }
 
-func (g *group) leader() *member {
+func (g *testGroup) leader() *member {
 	for _, id := range g.order {
-		if m := g.members[id]; !m.down && m.node.Leading(g.local(m)) {
+		if m := g.members[id]; !m.down && m.node.Leading(g.localTime(m)) {
 			return m
 		}
 	}
 	return nil
 }
 
-func (g *group) isolate(id quorum.NodeID, on bool) {
+func (g *testGroup) isolate(id quorum.NodeID, on bool) {
 	for _, other := range g.order {
-		g.cut[[2]quorum.NodeID{id, other}] = on
-		g.cut[[2]quorum.NodeID{other, id}] = on
+		g.partitioned[[2]quorum.NodeID{id, other}] = on
+		g.partitioned[[2]quorum.NodeID{other, id}] = on
 	}
 }
 
 func TestElection(t *testing.T) {
 	for _, n := range []int{1, 3, 5, 7} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			g := newGroup(t, n, 1, 0)
+			g := newTestGroup(t, n, 1, 0)
 			g.run(3 * time.Second)
 			require.NotNil(t, g.leader())
 		})
 	}
 }
 
-func TestIsolatedLeaderStopsWithinItsLease(t *testing.T) {
-	g := newGroup(t, 3, 2, 0)
+func TestIsolatedLeaderLosesLease(t *testing.T) {
+	g := newTestGroup(t, 3, 2, 0)
 	g.run(3 * time.Second)
 	old := g.leader()
 	require.NotNil(t, old)
 	g.isolate(old.id, true)
 	g.run(quorum.DefaultTiming.Election)
-	require.False(t, old.node.Leading(g.local(old)))
+	require.False(t, old.node.Leading(g.localTime(old)))
 	g.run(3 * time.Second)
 	next := g.leader()
 	require.NotNil(t, next)
@@ -236,13 +241,13 @@
 	term := next.node.Term()
 	g.isolate(old.id, false)
 	g.run(2 * time.Second)
-	require.Equal(t, term, g.leader().node.Term(), "a node that was cut off must not disturb the others")
+	require.Equal(t, term, g.leader().node.Term(), "a node that was partitioned must not force an election")
 }
 
-// TestLaggingCandidateRaisesNoTerm lets a node without the latest entries stand
-// for election again and again. Its rejected attempts must raise no term, or it
-// keeps the others from electing a leader.
-func TestLaggingCandidateRaisesNoTerm(t *testing.T) {
+// TestLaggingCandidateDoesNotRaiseTerm makes a node without the latest entries
+// campaign repeatedly. If its rejected pre-votes raised the term, it would keep the
+// others from electing a leader.
+func TestLaggingCandidateDoesNotRaiseTerm(t *testing.T) {
 	stored := func(last uint64) quorum.Stored {
 		list := quorum.Members{Nodes: map[quorum.NodeID]quorum.Peer{1: {}, 2: {}, 3: {}}}
 		s := quorum.Stored{HardState: quorum.HardState{Term: 5}, Snapshot: quorum.Snapshot{Members: list}}
@@ -267,12 +272,12 @@
 	require.Equal(t, uint64(5), behind.Term())
 }
 
-func TestEqualHalvesElectNobody(t *testing.T) {
-	g := newGroup(t, 4, 3, 0)
+func TestEvenSplitElectsNoLeader(t *testing.T) {
+	g := newTestGroup(t, 4, 3, 0)
 	for _, a := range []quorum.NodeID{1, 2} {
 		for _, b := range []quorum.NodeID{3, 4} {
-			g.cut[[2]quorum.NodeID{a, b}] = true
-			g.cut[[2]quorum.NodeID{b, a}] = true
+			g.partitioned[[2]quorum.NodeID{a, b}] = true
+			g.partitioned[[2]quorum.NodeID{b, a}] = true
 		}
 	}
 	g.run(10 * time.Second)
@@ -280,8 +285,8 @@
 	require.Empty(t, g.committed)
 }
 
-func TestCommittedSurvivesFullStop(t *testing.T) {
-	g := newGroup(t, 3, 4, 0)
+func TestCommittedEntriesSurviveFullRestart(t *testing.T) {
+	g := newTestGroup(t, 3, 4, 0)
 	g.run(3 * time.Second)
 	for i := range 300 {
 		_, _, err := g.leader().node.Propose([]byte(fmt.Sprint(i)))
@@ -300,10 +305,10 @@
 	require.GreaterOrEqual(t, len(g.leader().applied), before)
 }
 
-// TestLostDisk replaces a member that lost its disk by a learner that catches up
-// from a snapshot before it votes.
-func TestLostDisk(t *testing.T) {
-	g := newGroup(t, 3, 5, 0.01)
+// TestReplaceMemberWithLostDisk replaces a member that lost its disk by a learner,
+// which catches up from a snapshot before it gets a vote.
+func TestReplaceMemberWithLostDisk(t *testing.T) {
+	g := newTestGroup(t, 3, 5, 0.01)
 	g.run(3 * time.Second)
 	for i := range 50 {
 		_, _, err := g.leader().node.Propose([]byte(fmt.Sprint(i)))
@@ -312,7 +317,7 @@
 	}
 	lead := g.leader()
 	s := lead.node.Snapshot([]byte("state"))
-	require.NoError(t, lead.j.SaveSnapshot(s, lead.node.After(s.Index)))
+	require.NoError(t, lead.journal.SaveSnapshot(s, lead.node.After(s.Index)))
 	lead.node.Compact(s)
 	lost := g.order[0]
 	if lost == lead.id {
@@ -321,7 +326,7 @@
 	g.members[lost].down = true
 	g.add(9, nil)
 	g.run(2 * time.Second)
-	require.Zero(t, g.members[9].node.Commit(), "a node that nobody took in has no entries")
+	require.Zero(t, g.members[9].node.Commit(), "a node that isn't a member receives no entries")
 	for _, change := range []func(*quorum.Members){
 		func(m *quorum.Members) { m.Nodes[9] = quorum.Peer{Name: "again"}; m.Learners[9] = true },
 		func(m *quorum.Members) { delete(m.Nodes, lost) },
@@ -338,7 +343,7 @@
 }
 
 func TestMembersChangeOneAtATime(t *testing.T) {
-	g := newGroup(t, 3, 6, 0)
+	g := newTestGroup(t, 3, 6, 0)
 	g.run(3 * time.Second)
 	two := g.leader().node.Members()
 	two.Nodes[8], two.Nodes[9] = quorum.Peer{}, quorum.Peer{}
@@ -351,13 +356,13 @@
 	require.ErrorIs(t, g.leader().node.ChangeMembers(again), quorum.ErrMembersChange)
 }
 
-// TestAgreement checks, under random crashes, cuts, losses and failed writes,
-// that committed entries never differ, that at most one leader holds a lease,
-// and that the group works again afterwards.
+// TestAgreement checks, under random crashes, partitions, message loss and failed
+// writes, that committed entries never differ, that at most one leader holds a
+// lease, and that the group elects a leader once the faults end.
 func TestAgreement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 5}).Draw(t, "nodes")
-		g := newGroup(t, n, rapid.Uint64().Draw(t, "seed"), rapid.Float64Range(0, 0.2).Draw(t, "loss"))
+		g := newTestGroup(t, n, rapid.Uint64().Draw(t, "seed"), rapid.Float64Range(0, 0.2).Draw(t, "loss"))
 		pick := func() *member {
 			return g.members[g.order[rapid.IntRange(0, n-1).Draw(t, "node")]]
 		}
@@ -393,7 +398,7 @@
 		}
 		g.loss = 0
 		g.run(4 * time.Second)
-		require.NotNil(t, g.leader(), "the group works again")
+		require.NotNil(t, g.leader(), "no leader after the faults ended")
 		for index := uint64(1); index <= uint64(len(g.committed)); index++ {
 			require.Contains(t, g.committed, index)
 		}
--- a/coordination/quorum/read.go
+++ b/coordination/quorum/read.go
@@ -1,20 +1,22 @@
 package quorum
 
-// BeginRead starts a linearizable read. The state up to the returned index is
-// current as of this call once ReadConfirmed accepts the mark.
+// BeginRead starts a linearizable read. Once ReadConfirmed returns true for the
+// mark, the state up to the returned index is current as of this call. BeginRead
+// returns ErrNotLeader until the leader has committed an entry of its term.
 func (n *Node) BeginRead(now int64) (mark int64, index uint64, err error) {
 	if n.role != Leader || !n.committedOwnTerm() {
 		return 0, 0, ErrNotLeader
 	}
-	// Only answers to messages that are sent from here on prove anything.
+	// Only answers to messages sent from here on confirm the read, so the mark must
+	// be later than any earlier time of sending.
 	n.now = max(n.now+1, now)
 	n.broadcast()
 	return n.now, n.log.commit, nil
 }
 
-// ReadConfirmed reports whether a majority has answered a message that was sent
-// after the read with the given mark began, so that no later leader had been
-// elected by then.
+// ReadConfirmed reports whether a majority has answered messages that were sent
+// since the read with the given mark began. No later leader had then been elected
+// when it began.
 func (n *Node) ReadConfirmed(mark int64) bool {
 	if n.role != Leader {
 		return false
@@ -27,19 +29,20 @@
 	}) >= mark
 }
 
-// Unheard returns, on the leader, the time since each voter last answered, in
-// nanoseconds. Since its election at the most.
+// Unheard returns, on the leader, the nanoseconds since the sending of the latest
+// message that the node answered. They count from the leader's election or the
+// node's addition at the earliest.
 func (n *Node) Unheard(id NodeID) int64 {
 	p := n.progress[id]
 	if p == nil {
 		return 0
 	}
-	return n.now - max(p.acked, p.added, n.elected)
+	return n.now - max(p.acked, p.addedAt, n.electedAt)
 }
 
-// Synced returns the time at which the node last knew all that its leader had
-// committed, in nanoseconds of the clock; on the leader itself, the time up to
-// which a majority has answered it. Zero stands for never.
+// Synced returns the time, in nanoseconds, at which the node last had all that its
+// leader had committed. On the leader, it is the latest time of sending that a
+// majority has answered. Zero means never.
 func (n *Node) Synced() int64 {
 	if n.role == Leader {
 		if !n.committedOwnTerm() {
@@ -56,4 +59,4 @@
 }
 
 // MembersIndex returns the index of the entry that set the members in force.
-func (n *Node) MembersIndex() uint64 { return n.membersAt }
+func (n *Node) MembersIndex() uint64 { return n.membersIndex }
--- a/coordination/quorum/read_test.go
+++ b/coordination/quorum/read_test.go
@@ -15,42 +15,43 @@
 	Heartbeat: quorum.DefaultTiming.Heartbeat, Election: quorum.DefaultTiming.Election, NoLease: true,
 }
 
-// read is a read that has begun at a member.
+// read is a linearizable read that has begun at a member.
 type read struct {
 	m     *member
 	node  *quorum.Node
 	term  uint64
 	mark  int64
 	index uint64
-	// committed is the last index that anyone had seen committed by then.
+	// committed is the highest index that any member had committed when the read
+	// began.
 	committed uint64
 }
 
-// begin starts a read at every member that believes that it leads.
-func (g *group) begin() []read {
+// beginReads starts a read at every member that takes itself for the leader.
+func (g *testGroup) beginReads() []read {
 	var list []read
 	for _, id := range g.order {
 		m := g.members[id]
 		if m.down || m.node.Role() != quorum.Leader {
 			continue
 		}
-		mark, index, err := m.node.BeginRead(g.local(m))
+		mark, index, err := m.node.BeginRead(g.localTime(m))
 		if err != nil {
 			continue
 		}
-		g.ready(m)
+		g.processReady(m)
 		list = append(list, read{m, m.node, m.node.Term(), mark, index, uint64(len(g.committed))})
 	}
 	return list
 }
 
-// TestReadsSeeWhatWasCommittedBefore begins reads under random crashes, cuts and
-// losses, without leases. A read that is confirmed covers every entry that was
+// TestReadsAreLinearizable begins reads under random crashes, partitions and
+// message loss, without leases. A confirmed read must cover every entry that was
 // committed when it began.
-func TestReadsSeeWhatWasCommittedBefore(t *testing.T) {
+func TestReadsAreLinearizable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 4, 5}).Draw(t, "nodes")
-		g := newGroupWith(t, n, rapid.Uint64().Draw(t, "seed"), rapid.Float64Range(0, 0.2).Draw(t, "loss"), noLease)
+		g := newTestGroupWithTiming(t, n, rapid.Uint64().Draw(t, "seed"), rapid.Float64Range(0, 0.2).Draw(t, "loss"), noLease)
 		pick := func() *member { return g.members[g.order[rapid.IntRange(0, n-1).Draw(t, "node")]] }
 		g.run(time.Second)
 		var reads []read
@@ -72,7 +73,7 @@
 					require.NoError(t, err)
 				}
 			}
-			reads = append(reads, g.begin()...)
+			reads = append(reads, g.beginReads()...)
 			g.run(time.Duration(rapid.IntRange(5, 300).Draw(t, "millis")) * time.Millisecond)
 			for _, r := range reads {
 				if r.m.down || r.m.node != r.node || r.node.Term() != r.term {
@@ -86,13 +87,13 @@
 	})
 }
 
-func TestReadsNeedTheLead(t *testing.T) {
-	g := newGroupWith(t, 3, 1, 0, noLease)
+func TestReadsRequireLeader(t *testing.T) {
+	g := newTestGroupWithTiming(t, 3, 1, 0, noLease)
 	g.run(time.Second)
 	lead := g.leader()
 	for _, id := range g.order {
 		m := g.members[id]
-		_, _, err := m.node.BeginRead(g.local(m))
+		_, _, err := m.node.BeginRead(g.localTime(m))
 		if m == lead {
 			require.NoError(t, err)
 			continue
@@ -101,16 +102,16 @@
 	}
 }
 
-// TestLeaderSoonAfterFullStop bounds the way back after a loss of all nodes: a
-// fresh answer is due within a second of the processes' start.
-func TestLeaderSoonAfterFullStop(t *testing.T) {
+// TestElectionAfterFullRestart checks that, without leases, a leader can serve
+// within a second of the start of all nodes.
+func TestElectionAfterFullRestart(t *testing.T) {
 	for _, n := range []int{3, 4, 5, 8} {
-		g := newGroupWith(t, n, uint64(n), 0, noLease)
+		g := newTestGroupWithTiming(t, n, uint64(n), 0, noLease)
 		g.run(3 * time.Second)
 		for _, id := range g.order {
 			g.crash(g.members[id])
 		}
-		g.wire = nil
+		g.inFlight = nil
 		for _, id := range g.order {
 			g.start(g.members[id])
 		}
@@ -122,10 +123,10 @@
 	}
 }
 
-// TestSyncedOnlyOnceCaughtUp lets a member miss entries: a leader's message alone
-// doesn't make it current.
+// TestSyncedOnlyOnceCaughtUp checks that a member that missed entries isn't synced
+// after a leader's message alone, but only once it has all committed entries.
 func TestSyncedOnlyOnceCaughtUp(t *testing.T) {
-	g := newGroupWith(t, 3, 3, 0, noLease)
+	g := newTestGroupWithTiming(t, 3, 3, 0, noLease)
 	g.run(time.Second)
 	lead := g.leader()
 	behind := g.members[lead.id%3+1]
--- a/coordination/quorum/replicate.go
+++ b/coordination/quorum/replicate.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// installRetry is the time after which a snapshot is sent again.
-const installRetry = 2 * time.Second
+// installRetryInterval is the time after which an unanswered snapshot is sent again.
+const installRetryInterval = 2 * time.Second
 
 func (n *Node) broadcast() {
 	for _, id := range n.members.sorted() {
@@ -14,7 +14,7 @@
 }
 
 // sendAppend sends the entries that the node lacks, or a snapshot if the log no
-// longer has them. Without entries it serves as a heartbeat.
+// longer has them. An Append without entries serves as a heartbeat.
 func (n *Node) sendAppend(to NodeID) {
 	p := n.progress[to]
 	prev := p.next - 1
@@ -28,18 +28,19 @@
 		Entries: n.log.slice(p.next, maxAppendEntries), Commit: n.log.commit, Sent: n.now,
 	}
 	n.send(m)
-	// Send what follows without waiting for the answer; a rejection sets it back.
+	// Later entries are sent without waiting for the answer; a rejection resets next.
 	p.next += uint64(len(m.Entries))
 }
 
 func (n *Node) sendInstall(to NodeID, p *progress) {
-	if p.installing != 0 && n.now-p.installing < int64(installRetry) {
-		// The empty Append keeps the follower from standing for election.
-		first, _ := n.log.term(n.log.first())
-		n.send(Message{Kind: Append, To: to, Term: n.hard.Term, Index: n.log.first(), LogTerm: first, Sent: n.now})
+	if p.snapshotSentAt != 0 && n.now-p.snapshotSentAt < int64(installRetryInterval) {
+		// An empty Append keeps the follower from campaigning while the snapshot is
+		// pending.
+		logTerm, _ := n.log.term(n.log.snapshotIndex())
+		n.send(Message{Kind: Append, To: to, Term: n.hard.Term, Index: n.log.snapshotIndex(), LogTerm: logTerm, Sent: n.now})
 		return
 	}
-	p.installing = n.now
+	p.snapshotSentAt = n.now
 	n.send(Message{
 		Kind: Install, To: to, Term: n.hard.Term, Index: n.snapshot.Index, LogTerm: n.snapshot.Term,
 		Snapshot: n.snapshot, Sent: n.now,
@@ -51,18 +52,18 @@
 		n.send(Message{Kind: AppendAnswer, To: m.From, Term: n.hard.Term, Reject: true})
 		return
 	}
-	n.hearLeader(m)
+	n.recordLeaderContact(m)
 	answer := Message{Kind: AppendAnswer, To: m.From, Term: n.hard.Term, Sent: m.Sent}
 	if m.Index < n.log.commit {
-		// Entries up to the commit index agree with every leader's.
+		// Entries up to the commit index match those of every leader.
 		answer.Index = n.log.commit
-		n.noteSynced(m)
+		n.updateSynced(m)
 		n.send(answer)
 		return
 	}
 	if t, ok := n.log.term(m.Index); !ok || t != m.LogTerm {
 		answer.Reject = true
-		answer.Index = n.conflict(m.Index)
+		answer.Index = n.conflictHint(m.Index)
 		n.send(answer)
 		return
 	}
@@ -72,21 +73,22 @@
 	}
 	answer.Index = m.Index + uint64(len(m.Entries))
 	n.log.commit = max(n.log.commit, min(m.Commit, answer.Index))
-	n.noteSynced(m)
+	n.updateSynced(m)
 	n.send(answer)
 }
 
-// noteSynced notes that the node has all that the leader had committed when it
-// sent m.
-func (n *Node) noteSynced(m *Message) {
+// updateSynced records the time if the node has all that the leader had committed
+// when it sent m.
+func (n *Node) updateSynced(m *Message) {
 	if n.log.commit >= m.Commit {
 		n.synced = n.now
 	}
 }
 
-// conflict returns an index at or before which the leader should look for
-// agreement: the last entry of an earlier term.
-func (n *Node) conflict(index uint64) uint64 {
+// conflictHint returns an index at or before which the leader should look for a
+// matching entry: the last entry of an earlier term, but not before the commit
+// index.
+func (n *Node) conflictHint(index uint64) uint64 {
 	index = min(index, n.log.last())
 	t, ok := n.log.term(index)
 	for ok && index > n.log.commit {
@@ -114,7 +116,7 @@
 		n.sendAppend(m.From)
 		return
 	}
-	p.installing = 0
+	p.snapshotSentAt = 0
 	if m.Index > p.match {
 		p.match = m.Index
 		p.next = max(p.next, p.match+1)
@@ -128,7 +130,8 @@
 	}
 }
 
-// advanceCommit commits what a majority holds on disk, if it is of this term.
+// advanceCommit commits the entries that a majority has on disk, if the last of
+// them is of the current term. It reports whether the commit index advanced.
 func (n *Node) advanceCommit() bool {
 	index := uint64(n.quorumValue(func(id NodeID) int64 {
 		if id == n.id {
@@ -145,12 +148,12 @@
 	return true
 }
 
-// stepDownIfRemoved ends the lead of a node that the committed members don't
-// name as a voter.
+// stepDownIfRemoved makes the leader step down if it isn't a voter of the
+// committed members.
 func (n *Node) stepDownIfRemoved() {
-	if n.membersAt <= n.log.commit && !n.members.Voter(n.id) {
+	if n.membersIndex <= n.log.commit && !n.members.Voter(n.id) {
 		n.broadcast()
-		n.follow(n.hard.Term, 0)
+		n.becomeFollower(n.hard.Term, 0)
 	}
 }
 
@@ -159,11 +162,11 @@
 		n.send(Message{Kind: AppendAnswer, To: m.From, Term: n.hard.Term, Reject: true})
 		return
 	}
-	n.hearLeader(m)
+	n.recordLeaderContact(m)
 	if m.Snapshot.Index > n.log.commit {
 		n.log.restore(m.Snapshot)
 		n.snapshot = m.Snapshot
-		n.install = m.Snapshot
+		n.receivedSnapshot = m.Snapshot
 		n.refreshMembers()
 	}
 	n.send(Message{Kind: InstallAnswer, To: m.From, Term: n.hard.Term, Index: n.log.commit, Sent: m.Sent})
