--- a/state/journal/frame.go
+++ b/state/journal/frame.go
@@ -1,8 +1,8 @@
-// Package journal keeps a control instance's log and snapshots on disk.
+// Package journal stores a control instance's log and snapshots on disk.
 //
 // A segment is a file of frames. Each frame is written and synced before the
-// next one, so that a crash can damage only the last frame; such a torn frame
-// is cut off. Any other damage is refused.
+// next one, so that a crash can tear only the last frame, which Open truncates.
+// Any other corruption is an error.
 package journal
 
 import (
@@ -12,26 +12,27 @@
 	"hash/crc32"
 )
 
-// Layout of a frame: magic, length and checksum of the payload, the payload.
+// Layout of a frame: magic, length and checksum of the payload (4 bytes each,
+// little-endian), then the payload.
 const (
-	frameMagic  = 0x6b6c6a66
-	frameHeader = 12
-	// maxFrame bounds the payload of a frame, in bytes.
-	maxFrame = 256 << 20
+	frameMagic      = 0x6b6c6a66
+	frameHeaderSize = 12
+	// maxPayloadSize is the maximum size of a frame's payload in bytes.
+	maxPayloadSize = 256 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// DamageError reports a file that isn't what was written.
-type DamageError struct {
+// CorruptionError reports a file whose content isn't what was written.
+type CorruptionError struct {
 	File   string
 	Offset int64
 	Reason string
 }
 
 // Error implements error.
-func (e *DamageError) Error() string {
-	return fmt.Sprintf("file %s is damaged at offset %d: %s", e.File, e.Offset, e.Reason)
+func (e *CorruptionError) Error() string {
+	return fmt.Sprintf("file %s is corrupt at offset %d: %s", e.File, e.Offset, e.Reason)
 }
 
 // appendFrame appends a frame with the payload to b.
@@ -43,27 +44,27 @@
 }
 
 // parseFrame returns the payload of the frame at the start of b and the size of
-// the frame. A reason is returned if there is no whole frame.
+// the frame. If b doesn't start with a valid frame, it returns the reason.
 func parseFrame(b []byte) (payload []byte, size int, reason string) {
-	if len(b) < frameHeader {
-		return nil, 0, "frame header is cut short"
+	if len(b) < frameHeaderSize {
+		return nil, 0, "frame header is truncated"
 	}
 	if binary.LittleEndian.Uint32(b) != frameMagic {
-		return nil, 0, "frame magic is wrong"
+		return nil, 0, "frame magic doesn't match"
 	}
 	n := int(binary.LittleEndian.Uint32(b[4:]))
-	if n > maxFrame || n > len(b)-frameHeader {
-		return nil, 0, "frame is cut short"
+	if n > maxPayloadSize || n > len(b)-frameHeaderSize {
+		return nil, 0, "frame length exceeds the limit or the rest of the file"
 	}
-	payload = b[frameHeader : frameHeader+n]
+	payload = b[frameHeaderSize : frameHeaderSize+n]
 	if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(b[8:]) {
-		return nil, 0, "frame checksum is wrong"
+		return nil, 0, "frame checksum doesn't match"
 	}
-	return payload, frameHeader + n, ""
+	return payload, frameHeaderSize + n, ""
 }
 
-// frameFollows reports whether a whole frame begins anywhere after the start of
-// b. The frame at the start was then synced, and its damage isn't a torn write.
+// frameFollows reports whether a valid frame begins anywhere after the start of b.
+// The frame at the start was then synced earlier, and isn't a torn write.
 func frameFollows(b []byte) bool {
 	magic := binary.LittleEndian.AppendUint32(nil, frameMagic)
 	for at := 1; at < len(b); {
--- a/state/journal/fuzz_test.go
+++ b/state/journal/fuzz_test.go
@@ -10,8 +10,8 @@
 	"catkinrail.example/catkinrail/state/journal"
 )
 
-// FuzzOpen opens folders with an arbitrary segment. Opening must fail clearly or
-// give a log that can be opened again.
+// FuzzOpen opens a data folder with an arbitrary segment. Open must return an
+// error or a log that it returns again when called a second time.
 func FuzzOpen(f *testing.F) {
 	disk := fake.NewDisk()
 	j, _, err := journal.Open(disk)
--- a/state/journal/identity.go
+++ b/state/journal/identity.go
@@ -9,9 +9,9 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-// Identity says who the data folder belongs to. It is as old as the folder: an
-// instance that lost its disk gets another one, and thereby no vote that an
-// earlier one has promised away.
+// Identity identifies the instance that a data folder belongs to. It is created
+// with the folder: an instance that lost its disk gets a new identity, so that it
+// can't vote a second time in a term in which it has voted already.
 type Identity struct {
 	Node quorum.NodeID `cbor:"1,keyasint"`
 	Name string        `cbor:"2,keyasint"`
@@ -25,7 +25,7 @@
 	}
 	if !slices.Contains(names, identityFile) {
 		if len(withPrefix(names, segmentPrefix)) > 0 {
-			return nil, &DamageError{File: identityFile, Reason: "is missing beside a log"}
+			return nil, &CorruptionError{File: identityFile, Reason: "missing although there are log segments"}
 		}
 		return nil, nil
 	}
@@ -44,25 +44,25 @@
 	}
 	payload, _, reason := parseFrame(b)
 	if reason != "" {
-		return &DamageError{File: name, Reason: reason}
+		return &CorruptionError{File: name, Reason: reason}
 	}
 	if err := cluster.Decode(payload, v); err != nil {
-		return &DamageError{File: name, Reason: err.Error()}
+		return &CorruptionError{File: name, Reason: err.Error()}
 	}
 	return nil
 }
 
 // WriteRecord writes a file that holds one record. After a crash the file holds
-// the earlier record or this one.
+// either the earlier record or this one.
 func WriteRecord(dir catkinrail.Dir, name string, v any) error {
 	payload, err := cluster.Encode(v)
 	if err != nil {
 		return err
 	}
-	return writeFile(dir, name, appendFrame(nil, payload))
+	return writeFileAtomic(dir, name, appendFrame(nil, payload))
 }
 
-// SaveIdentity gives a new folder its identity.
+// SaveIdentity writes the identity of a new data folder.
 func SaveIdentity(dir catkinrail.Dir, id *Identity) error {
 	return WriteRecord(dir, identityFile, id)
 }
--- a/state/journal/journal.go
+++ b/state/journal/journal.go
@@ -11,21 +11,21 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-// Names of files.
+// File names.
 const (
 	segmentPrefix  = "segment-"
 	snapshotPrefix = "snapshot-"
-	temporary      = ".tmp"
+	tempSuffix     = ".tmp"
 	identityFile   = "identity"
 	nameDigits     = 16
 )
 
-// maxSegment is the size, in bytes, from which a new segment is begun.
-const maxSegment = 8 << 20
+// maxSegmentSize is the segment size, in bytes, at which a snapshot is due.
+const maxSegmentSize = 8 << 20
 
-// ErrFailed reports that an earlier write failed. What is on disk is unknown
-// until the process starts again.
-var ErrFailed = errors.New("journal failed earlier")
+// ErrFailed reports that an earlier Save or SaveSnapshot failed. What is on disk is
+// unknown until the journal is opened again.
+var ErrFailed = errors.New("journal is unusable after an earlier error")
 
 // batch is the payload of a segment's frame.
 type batch struct {
@@ -35,27 +35,30 @@
 
 // Journal is an open log.
 type Journal struct {
-	dir     catkinrail.Dir
-	file    catkinrail.File
-	name    string
-	size    int64
-	next    uint64
-	hard    quorum.HardState
-	load    loading
+	dir catkinrail.Dir
+	// file, name, size (in bytes) and segmentNumber are those of the current segment.
+	file          catkinrail.File
+	name          string
+	size          int64
+	segmentNumber uint64
+	hard          quorum.HardState
+	load          loadState
+	// failed is the error of the Save or SaveSnapshot that failed first.
 	failed  error
 	scratch []byte
 }
 
-// Open reads the folder and returns what it holds. It cuts off a torn frame at
-// the end of the last segment; any other damage is a DamageError.
+// Open reads the data folder and returns the state that it holds. It truncates a
+// torn frame at the end of the last segment; any other corruption is a
+// CorruptionError.
 func Open(dir catkinrail.Dir) (*Journal, quorum.Stored, error) {
 	var stored quorum.Stored
-	j := &Journal{dir: dir, load: loading{Stored: &stored}}
+	j := &Journal{dir: dir, load: loadState{Stored: &stored}}
 	names, err := dir.List()
 	if err != nil {
 		return nil, stored, fmt.Errorf("list data folder: %w", err)
 	}
-	if err := j.removeTemporary(names); err != nil {
+	if err := j.removeTempFiles(names); err != nil {
 		return nil, stored, err
 	}
 	if err := loadSnapshot(dir, withPrefix(names, snapshotPrefix), &stored); err != nil {
@@ -74,10 +77,12 @@
 	return j, stored, j.startSegment(segments)
 }
 
+// withPrefix returns, sorted, the names that have the prefix and aren't those of
+// temporary files.
 func withPrefix(names []string, prefix string) []string {
 	var list []string
 	for _, name := range names {
-		if strings.HasPrefix(name, prefix) && !strings.HasSuffix(name, temporary) {
+		if strings.HasPrefix(name, prefix) && !strings.HasSuffix(name, tempSuffix) {
 			list = append(list, name)
 		}
 	}
@@ -85,9 +90,9 @@
 	return list
 }
 
-func (j *Journal) removeTemporary(names []string) error {
+func (j *Journal) removeTempFiles(names []string) error {
 	for _, name := range names {
-		if !strings.HasSuffix(name, temporary) {
+		if !strings.HasSuffix(name, tempSuffix) {
 			continue
 		}
 		if err := j.dir.Remove(name); err != nil {
@@ -97,8 +102,8 @@
 	return nil
 }
 
-// loadSnapshot reads the latest snapshot. Snapshots get their name only once
-// they are synced, so a damaged one is not a torn write.
+// loadSnapshot reads the latest snapshot. A snapshot gets its final name only once
+// it is synced, so a corrupt one isn't a torn write.
 func loadSnapshot(dir catkinrail.Dir, names []string, stored *quorum.Stored) error {
 	if len(names) == 0 {
 		return nil
@@ -110,13 +115,13 @@
 	}
 	payload, size, reason := parseFrame(b)
 	if reason == "" && size != len(b) {
-		reason = "data follows the snapshot"
+		reason = "trailing data after the snapshot"
 	}
 	if reason != "" {
-		return &DamageError{File: name, Reason: reason}
+		return &CorruptionError{File: name, Reason: reason}
 	}
 	if err := cluster.Decode(payload, &stored.Snapshot); err != nil {
-		return &DamageError{File: name, Offset: frameHeader, Reason: err.Error()}
+		return &CorruptionError{File: name, Offset: frameHeaderSize, Reason: err.Error()}
 	}
 	return nil
 }
@@ -130,14 +135,14 @@
 	for offset < len(b) {
 		payload, size, reason := parseFrame(b[offset:])
 		if reason != "" {
-			return j.cutTorn(name, b, offset, reason, last)
+			return j.truncateTornFrame(name, b, offset, reason, last)
 		}
 		var rec batch
 		if err := cluster.Decode(payload, &rec); err != nil {
-			return &DamageError{File: name, Offset: int64(offset), Reason: err.Error()}
+			return &CorruptionError{File: name, Offset: int64(offset), Reason: err.Error()}
 		}
 		if err := j.load.addBatch(&rec); err != nil {
-			return &DamageError{File: name, Offset: int64(offset), Reason: err.Error()}
+			return &CorruptionError{File: name, Offset: int64(offset), Reason: err.Error()}
 		}
 		offset += size
 	}
@@ -145,35 +150,36 @@
 	return nil
 }
 
-// cutTorn cuts off the frame at offset if it can only be the last write before
-// a crash.
-func (j *Journal) cutTorn(name string, b []byte, offset int, reason string, last bool) error {
+// truncateTornFrame removes the frame at offset if it can only be the last write
+// before a crash.
+func (j *Journal) truncateTornFrame(name string, b []byte, offset int, reason string, last bool) error {
 	if !last || frameFollows(b[offset:]) {
-		return &DamageError{File: name, Offset: int64(offset), Reason: reason}
+		return &CorruptionError{File: name, Offset: int64(offset), Reason: reason}
 	}
 	if err := j.dir.Truncate(name, int64(offset)); err != nil {
-		return fmt.Errorf("cut torn end of %s at offset %d: %w", name, offset, err)
+		return fmt.Errorf("truncate torn frame of %s at offset %d: %w", name, offset, err)
 	}
 	j.size = int64(offset)
 	return nil
 }
 
-// loading is what was read of the segments so far.
-type loading struct {
+// loadState is the state read from the snapshot and segments so far.
+type loadState struct {
 	*quorum.Stored
-	// covered is the term of the entry at the snapshot's index, if a segment
-	// from before the snapshot still holds it.
-	covered uint64
+	// coveredTerm is the term of the entry at the snapshot's index, if a segment
+	// from before the snapshot still holds it, or else zero.
+	coveredTerm uint64
 }
 
-// addBatch applies a batch to what was read before it.
-func (l *loading) addBatch(b *batch) error {
+// addBatch applies a batch to the state. Its entries replace those of the same or
+// a higher index.
+func (l *loadState) addBatch(b *batch) error {
 	if b.HardState != nil {
 		l.HardState = *b.HardState
 	}
 	for _, e := range b.Entries {
 		if e.Index == l.Snapshot.Index {
-			l.covered = e.Term
+			l.coveredTerm = e.Term
 		}
 		if e.Index <= l.Snapshot.Index {
 			l.Entries = l.Entries[:0]
@@ -181,23 +187,23 @@
 		}
 		next := l.Snapshot.Index + uint64(len(l.Entries)) + 1
 		if e.Index > next {
-			return fmt.Errorf("entry %d follows entry %d", e.Index, next-1)
+			return fmt.Errorf("gap in the log: entry %d follows entry %d", e.Index, next-1)
 		}
 		l.Entries = append(l.Entries[:e.Index-l.Snapshot.Index-1], e)
 	}
 	return nil
 }
 
-// finish drops entries that a snapshot from a leader has replaced, which a crash
-// may have left behind, and checks the order of the others.
-func (l *loading) finish() error {
-	if l.covered != 0 && l.covered != l.Snapshot.Term {
+// finish drops entries that a leader's snapshot has replaced but a crash kept from
+// being removed, and checks the terms of the others.
+func (l *loadState) finish() error {
+	if l.coveredTerm != 0 && l.coveredTerm != l.Snapshot.Term {
 		l.Entries = nil
 	}
 	prev := l.Snapshot.Term
 	for _, e := range l.Entries {
 		if e.Term < prev || e.Term > l.HardState.Term {
-			return &DamageError{File: "log", Reason: fmt.Sprintf("entry %d has term %d after term %d", e.Index, e.Term, prev)}
+			return &CorruptionError{File: "log", Reason: fmt.Sprintf("entry %d has term %d: before the previous term %d or after the current term", e.Index, e.Term, prev)}
 		}
 		prev = e.Term
 	}
@@ -214,36 +220,36 @@
 		return j.createSegment(1)
 	}
 	j.name = segments[len(segments)-1]
-	if _, err := fmt.Sscanf(j.name, segmentPrefix+"%x", &j.next); err != nil {
-		return &DamageError{File: j.name, Reason: "name has no number"}
+	if _, err := fmt.Sscanf(j.name, segmentPrefix+"%x", &j.segmentNumber); err != nil {
+		return &CorruptionError{File: j.name, Reason: "segment name has no number"}
 	}
 	f, err := j.dir.Append(j.name)
 	if err != nil {
 		return fmt.Errorf("open %s: %w", j.name, err)
 	}
 	j.file = f
-	// Nothing that was read may be lost later.
+	// What was read may not have been synced, and must not be lost later.
 	return f.Sync()
 }
 
-// createSegment begins a segment. Its first frame repeats the hard state, so
-// that earlier segments can be removed.
+// createSegment starts segment n. Its first frame repeats the hard state, so that
+// earlier segments can be removed.
 func (j *Journal) createSegment(n uint64) error {
 	name := fileName(segmentPrefix, n)
 	f, err := j.dir.Create(name)
 	if err != nil {
 		return fmt.Errorf("create %s: %w", name, err)
 	}
-	j.file, j.name, j.size, j.next = f, name, 0, n
+	j.file, j.name, j.size, j.segmentNumber = f, name, 0, n
 	if err := j.writeBatch(&batch{HardState: &j.hard}); err != nil {
 		return err
 	}
 	return j.dir.Sync()
 }
 
-// Save writes and syncs what a Ready asks for, except its snapshot. After an
-// error every further call fails: the process must start again and read what
-// the disk holds.
+// Save writes and syncs a hard state, if it isn't nil, and entries. After an error
+// every further call returns ErrFailed: the journal must be opened again to read
+// what is on disk.
 func (j *Journal) Save(hard *quorum.HardState, entries []quorum.Entry) error {
 	if j.failed != nil {
 		return errors.Join(ErrFailed, j.failed)
@@ -277,8 +283,9 @@
 	return nil
 }
 
-// SaveSnapshot writes a snapshot, begins a new segment with the entries that
-// follow it, and removes what is no longer needed.
+// SaveSnapshot writes a snapshot, starts a new segment with the entries that
+// follow it, and removes earlier segments and snapshots. After an error every
+// further call returns ErrFailed.
 func (j *Journal) SaveSnapshot(s *quorum.Snapshot, following []quorum.Entry) error {
 	if j.failed != nil {
 		return errors.Join(ErrFailed, j.failed)
@@ -296,13 +303,13 @@
 		return err
 	}
 	name := fileName(snapshotPrefix, s.Index)
-	if err := writeFile(j.dir, name, appendFrame(nil, payload)); err != nil {
+	if err := writeFileAtomic(j.dir, name, appendFrame(nil, payload)); err != nil {
 		return err
 	}
 	if err := j.file.Close(); err != nil {
 		return fmt.Errorf("close %s: %w", j.name, err)
 	}
-	if err := j.createSegment(j.next + 1); err != nil {
+	if err := j.createSegment(j.segmentNumber + 1); err != nil {
 		return err
 	}
 	if len(following) > 0 {
@@ -310,12 +317,13 @@
 			return err
 		}
 	}
-	return j.removeOld(name)
+	return j.removeObsolete(name)
 }
 
-// writeFile writes a file so that it appears under its name only when whole.
-func writeFile(dir catkinrail.Dir, name string, b []byte) error {
-	f, err := dir.Create(name + temporary)
+// writeFileAtomic writes a file that appears under its name only once it is
+// complete and synced.
+func writeFileAtomic(dir catkinrail.Dir, name string, b []byte) error {
+	f, err := dir.Create(name + tempSuffix)
 	if err != nil {
 		return fmt.Errorf("create %s: %w", name, err)
 	}
@@ -326,15 +334,15 @@
 	if err = errors.Join(err, f.Close()); err != nil {
 		return fmt.Errorf("write %s: %w", name, err)
 	}
-	if err := dir.Rename(name+temporary, name); err != nil {
+	if err := dir.Rename(name+tempSuffix, name); err != nil {
 		return fmt.Errorf("rename %s: %w", name, err)
 	}
 	return dir.Sync()
 }
 
-// removeOld removes the segments and snapshots before the current ones. The
-// segments go from the oldest on, so that a crash leaves no gap.
-func (j *Journal) removeOld(snapshot string) error {
+// removeObsolete removes the segments and snapshots before the current ones.
+// Segments are removed from the oldest on, so that a crash leaves no gap.
+func (j *Journal) removeObsolete(snapshot string) error {
 	names, err := j.dir.List()
 	if err != nil {
 		return fmt.Errorf("list data folder: %w", err)
@@ -361,9 +369,10 @@
 	return j.size
 }
 
-// Full reports whether the log should be replaced by a snapshot.
+// Full reports whether the current segment is large enough that a snapshot should
+// replace the log.
 func (j *Journal) Full() bool {
-	return j.size >= maxSegment
+	return j.size >= maxSegmentSize
 }
 
 // Close closes the current segment.
--- a/state/journal/journal_test.go
+++ b/state/journal/journal_test.go
@@ -22,8 +22,8 @@
 	return list
 }
 
-// TestCrashAtEveryOperation crashes the machine at each operation on the disk of
-// a fixed history. What was acknowledged must be there afterwards.
+// TestCrashAtEveryOperation crashes the machine at each disk operation of a fixed
+// sequence of writes. Acknowledged writes must survive.
 func TestCrashAtEveryOperation(t *testing.T) {
 	steps := []func(j *journal.Journal) error{
 		func(j *journal.Journal) error { return j.Save(&quorum.HardState{Term: 1, Vote: 7}, entries(1, 3, 1)) },
@@ -34,7 +34,8 @@
 		},
 		func(j *journal.Journal) error { return j.Save(&quorum.HardState{Term: 3}, entries(7, 9, 3)) },
 	}
-	// What each step has made durable: last index, and term of entry 4 or later.
+	// The last index and the term of the hard state that must be on disk after each
+	// number of completed steps.
 	want := []struct{ last, term uint64 }{{0, 0}, {3, 1}, {5, 1}, {6, 2}, {6, 2}, {9, 3}}
 	for at := range 60 {
 		for seed := range uint64(6) {
@@ -59,7 +60,7 @@
 	}
 }
 
-func TestDamage(t *testing.T) {
+func TestCorruption(t *testing.T) {
 	tests := []struct {
 		name   string
 		file   string
@@ -94,9 +95,9 @@
 				require.Len(t, stored.Entries, 3)
 				return
 			}
-			var damage *journal.DamageError
-			require.ErrorAs(t, err, &damage)
-			require.Equal(t, name, damage.File)
+			var corruption *journal.CorruptionError
+			require.ErrorAs(t, err, &corruption)
+			require.Equal(t, name, corruption.File)
 		})
 	}
 }
@@ -111,7 +112,7 @@
 	require.ErrorIs(t, j.Save(nil, entries(1, 1, 1)), journal.ErrFailed)
 }
 
-func TestIdentityMissingBesideLog(t *testing.T) {
+func TestIdentityMissingWithLog(t *testing.T) {
 	disk := fake.NewDisk()
 	id, err := journal.LoadIdentity(disk)
 	require.NoError(t, err)
@@ -124,13 +125,13 @@
 	require.Equal(t, &journal.Identity{Node: 9, Name: "control-1"}, id)
 	require.NoError(t, disk.Remove("identity"))
 	_, err = journal.LoadIdentity(disk)
-	var damage *journal.DamageError
-	require.ErrorAs(t, err, &damage)
+	var corruption *journal.CorruptionError
+	require.ErrorAs(t, err, &corruption)
 }
 
-// TestAcknowledgedSurvives writes and crashes at random and compares with a
-// model of what was acknowledged.
-func TestAcknowledgedSurvives(t *testing.T) {
+// TestAcknowledgedWritesSurvive writes and crashes at random, and compares the
+// stored log with a model of the acknowledged writes.
+func TestAcknowledgedWritesSurvive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		disk := fake.NewDisk()
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -172,19 +173,19 @@
 			term = max(term, stored.HardState.Term) + 1
 			require.GreaterOrEqual(t, stored.Snapshot.Index, snapshot)
 			snapshot = stored.Snapshot.Index
-			acked = compare(t, acked, &stored)
+			acked = checkStored(t, acked, &stored)
 		}
 	})
 }
 
-// compare checks that the stored log holds what was acknowledged, up to entries
-// that an unacknowledged write may have replaced, and returns what is there now.
-func compare(t *rapid.T, acked []quorum.Entry, stored *quorum.Stored) []quorum.Entry {
+// checkStored checks that the stored log holds the acknowledged entries, except
+// those that an unacknowledged write may have replaced, and returns the stored log.
+func checkStored(t *rapid.T, acked []quorum.Entry, stored *quorum.Stored) []quorum.Entry {
 	log := append([]quorum.Entry(nil), acked[:min(stored.Snapshot.Index, uint64(len(acked)))]...)
 	log = append(log, stored.Entries...)
 	for i := range acked {
 		if i < len(log) && log[i].Term != acked[i].Term {
-			require.Greater(t, log[i].Term, acked[i].Term, "entry %d went back", i+1)
+			require.Greater(t, log[i].Term, acked[i].Term, "term of entry %d decreased", i+1)
 			return log
 		}
 	}
