--- a/control/voter/voter.go
+++ b/control/voter/voter.go
@@ -1,4 +1,5 @@
-// Package voter speaks to the other control instances.
+// Package voter sends quorum messages and join requests to the other control
+// instances.
 package voter
 
 import (
@@ -20,14 +21,17 @@
 
 // Limits of sending.
 const (
-	stepTimeout  = time.Second
-	queueLength  = 256
-	logInterval  = 10 * time.Second
-	senderWindow = 64
+	callTimeout = time.Second
+	// queueLength is the maximum number of messages that wait for one instance.
+	queueLength = 256
+	// logInterval is the minimum time between two warnings about one instance.
+	logInterval = 10 * time.Second
+	// maxBatchLength is the maximum number of messages in a call.
+	maxBatchLength = 64
 )
 
-// Voters sends messages to the other control instances, each over a queue of
-// its own, so that a silent one holds up nobody.
+// Voters sends messages to the other control instances. Each has its own queue, so
+// that one that doesn't answer doesn't delay the others.
 type Voters struct {
 	ctx   context.Context
 	group *errgroup.Group
@@ -37,12 +41,13 @@
 
 	mu      sync.Mutex
 	senders map[quorum.NodeID]*sender
-	// contacts are the members that a leader has named.
+	// contacts are the members that a reply to Join named last.
 	contacts *quorum.Members
-	// leader is the address of the leader that was named with them.
-	leader string
+	// leaderAddr is the address of the leader named in that reply, if any.
+	leaderAddr string
 }
 
+// sender sends the queued messages for one control instance.
 type sender struct {
 	addr    string
 	client  *rpc.Client
@@ -51,16 +56,16 @@
 	cancel  context.CancelFunc
 }
 
-// New returns voters whose senders run in the group until ctx ends.
+// New returns Voters whose senders run in the group until ctx ends.
 func New(ctx context.Context, g *errgroup.Group, creds *rpc.Credentials, log *logs.Logger, clock catkinrail.Clock) *Voters {
 	return &Voters{ctx: ctx, group: g, creds: creds, log: log, clock: clock, senders: map[quorum.NodeID]*sender{}}
 }
 
-// Send queues the messages. A message that finds its queue full is dropped, as
-// the network might have done.
-func (v *Voters) Send(list []quorum.Message, members *quorum.Members) {
+// Send queues the messages. A message to a node without a known address or with a
+// full queue is dropped; the quorum tolerates lost messages.
+func (t *Voters) Send(list []quorum.Message, members *quorum.Members) {
 	for _, m := range list {
-		s := v.sender(m.To, members)
+		s := t.sender(m.To, members)
 		if s == nil {
 			continue
 		}
@@ -71,15 +76,16 @@
 	}
 }
 
-// sender returns the sender to a node, begun anew if its address has changed.
-func (v *Voters) sender(id quorum.NodeID, members *quorum.Members) *sender {
-	v.mu.Lock()
-	defer v.mu.Unlock()
+// sender returns the sender for a node, and replaces it if the node's address has
+// changed. It returns nil if it has no sender and the address is unknown.
+func (t *Voters) sender(id quorum.NodeID, members *quorum.Members) *sender {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	peer, ok := members.Nodes[id]
-	if !ok && v.contacts != nil {
-		peer, ok = v.contacts.Nodes[id]
+	if !ok && t.contacts != nil {
+		peer, ok = t.contacts.Nodes[id]
 	}
-	s := v.senders[id]
+	s := t.senders[id]
 	if s != nil && (!ok || s.addr == peer.Addr) {
 		return s
 	}
@@ -89,40 +95,40 @@
 	if s != nil {
 		s.cancel()
 	}
-	ctx, cancel := context.WithCancel(v.ctx)
+	ctx, cancel := context.WithCancel(t.ctx)
 	s = &sender{
-		addr: peer.Addr, client: rpc.NewClient(peer.Addr, v.creds), cancel: cancel,
-		queue: make(chan quorum.Message, queueLength), limiter: logs.NewLimiter(v.clock, logInterval),
+		addr: peer.Addr, client: rpc.NewClient(peer.Addr, t.creds), cancel: cancel,
+		queue: make(chan quorum.Message, queueLength), limiter: logs.NewLimiter(t.clock, logInterval),
 	}
-	v.senders[id] = s
-	v.group.Go(func() error {
-		v.run(ctx, s)
+	t.senders[id] = s
+	t.group.Go(func() error {
+		t.runSender(ctx, s)
 		return nil
 	})
 	return s
 }
 
-func (v *Voters) run(ctx context.Context, s *sender) {
+func (t *Voters) runSender(ctx context.Context, s *sender) {
 	defer s.client.Close()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case m := <-s.queue:
-			batch := collect(s.queue, m)
-			if err := send(ctx, s.client, batch); err != nil && ctx.Err() == nil {
+			batch := collectBatch(s.queue, m)
+			if err := sendBatch(ctx, s.client, batch); err != nil && ctx.Err() == nil {
 				if skipped, ok := s.limiter.Allow(); ok {
-					v.log.Warn(err).Uint64("skipped", skipped).Msg("control instance not reached")
+					t.log.Warn(err).Uint64("skipped", skipped).Msg("could not send messages to control instance")
 				}
 			}
 		}
 	}
 }
 
-// collect takes further messages that wait, so that one call carries them.
-func collect(queue chan quorum.Message, first quorum.Message) []quorum.Message {
+// collectBatch takes further queued messages, so that one call carries them.
+func collectBatch(queue chan quorum.Message, first quorum.Message) []quorum.Message {
 	batch := []quorum.Message{first}
-	for len(batch) < senderWindow {
+	for len(batch) < maxBatchLength {
 		select {
 		case m := <-queue:
 			batch = append(batch, m)
@@ -133,23 +139,23 @@
 	return batch
 }
 
-func send(ctx context.Context, c *rpc.Client, batch []quorum.Message) error {
+func sendBatch(ctx context.Context, c *rpc.Client, batch []quorum.Message) error {
 	body, err := cluster.Encode(batch)
 	if err != nil {
 		return err
 	}
-	return c.Call(ctx, "step", stepTimeout, func(ctx context.Context, conn drpc.Conn) error {
+	return c.Call(ctx, "step", callTimeout, func(ctx context.Context, conn drpc.Conn) error {
 		_, err := control.NewDRPCControlClient(conn).Step(ctx, &control.Frame{Body: body})
 		return err
 	})
 }
 
-// Hello asks the control instance at addr who it is.
+// Hello requests the identity of the control instance at addr.
 func Hello(ctx context.Context, addr string, creds *rpc.Credentials) (*message.Greeting, error) {
 	c := rpc.NewClient(addr, creds)
 	defer c.Close()
 	g := &message.Greeting{}
-	err := c.Call(ctx, "hello", stepTimeout, func(ctx context.Context, conn drpc.Conn) error {
+	err := c.Call(ctx, "hello", callTimeout, func(ctx context.Context, conn drpc.Conn) error {
 		f, err := control.NewDRPCControlClient(conn).Hello(ctx, &control.Frame{})
 		if err != nil {
 			return err
@@ -159,17 +165,18 @@
 	return g, err
 }
 
-// Join asks the control instance at addr to take in a new member, and learns how
-// to reach the others. It reports whether there is nothing left to ask for.
-func (v *Voters) Join(ctx context.Context, addr string, req *message.JoinRequest) (done bool, err error) {
+// Join asks the control instance at addr to add a new member, and records the
+// members and the leader that the reply names. It reports whether the new member
+// has joined; if not, the request must be sent again.
+func (t *Voters) Join(ctx context.Context, addr string, req *message.JoinRequest) (done bool, err error) {
 	body, err := cluster.Encode(req)
 	if err != nil {
 		return false, err
 	}
 	var reply message.JoinReply
-	c := rpc.NewClient(addr, v.creds)
+	c := rpc.NewClient(addr, t.creds)
 	defer c.Close()
-	err = c.Call(ctx, "join", stepTimeout, func(ctx context.Context, conn drpc.Conn) error {
+	err = c.Call(ctx, "join", callTimeout, func(ctx context.Context, conn drpc.Conn) error {
 		f, err := control.NewDRPCControlClient(conn).Join(ctx, &control.Frame{Body: body})
 		if err != nil {
 			return err
@@ -179,26 +186,26 @@
 	if err != nil {
 		return false, err
 	}
-	v.learn(&reply)
+	t.setContacts(&reply)
 	return !reply.Wait, nil
 }
 
-// learn notes how to reach members that this instance's own log doesn't name
-// yet.
-func (v *Voters) learn(reply *message.JoinReply) {
+// setContacts records the addresses of members that this instance's own log may
+// not contain yet.
+func (t *Voters) setContacts(reply *message.JoinReply) {
 	if len(reply.Members.Nodes) == 0 {
 		return
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.contacts = reply.Members.Clone()
-	v.leader = reply.Members.Nodes[reply.Leader].Addr
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.contacts = reply.Members.Clone()
+	t.leaderAddr = reply.Members.Nodes[reply.Leader].Addr
 }
 
-// Leader returns the address of the leader that an answer to Join has named, or
-// an empty string.
-func (v *Voters) Leader() string {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.leader
+// Leader returns the address of the leader that a reply to Join named last, or an
+// empty string if it named none.
+func (t *Voters) Leader() string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.leaderAddr
 }
--- a/control/voter/voter_test.go
+++ b/control/voter/voter_test.go
@@ -18,22 +18,22 @@
 	"catkinrail.example/catkinrail/transport/rpc"
 )
 
-// leader is a control instance that takes in whoever asks and keeps what it is
-// told.
-type leader struct {
+// fakeLeader is a control instance that answers every request to join with its
+// members and passes on the messages that it receives.
+type fakeLeader struct {
 	control.DRPCControlUnimplementedServer
 	members quorum.Members
 	steps   chan quorum.Message
 }
 
 // Join implements control.DRPCControlServer.
-func (l *leader) Join(context.Context, *control.Frame) (*control.Frame, error) {
+func (l *fakeLeader) Join(context.Context, *control.Frame) (*control.Frame, error) {
 	body, err := cluster.Encode(&message.JoinReply{Wait: true, Members: l.members, Leader: 7})
 	return &control.Frame{Body: body}, err
 }
 
 // Step implements control.DRPCControlServer.
-func (l *leader) Step(_ context.Context, f *control.Frame) (*control.Frame, error) {
+func (l *fakeLeader) Step(_ context.Context, f *control.Frame) (*control.Frame, error) {
 	var list []quorum.Message
 	if err := cluster.Decode(f.GetBody(), &list); err != nil {
 		return nil, err
@@ -44,13 +44,13 @@
 	return &control.Frame{}, nil
 }
 
-// TestJoiningInstanceCanAnswer sends a message to a member that only the answer
-// to a request to join has named: an empty log names nobody.
+// TestJoiningInstanceCanAnswer sends a message to a member that is known only from
+// a reply to Join: the log of an instance that joins is empty and names no members.
 func TestJoiningInstanceCanAnswer(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := listener.Addr().String()
-	l := &leader{
+	l := &fakeLeader{
 		members: quorum.Members{Nodes: map[quorum.NodeID]quorum.Peer{7: {Name: "leader", Addr: addr}}},
 		steps:   make(chan quorum.Message, 1),
 	}
@@ -64,7 +64,7 @@
 	none := &quorum.Members{Nodes: map[quorum.NodeID]quorum.Peer{}}
 	answer := []quorum.Message{{Kind: quorum.AppendAnswer, From: 9, To: 7, Reject: true}}
 	v.Send(answer, none)
-	require.Empty(t, v.senders, "nobody knows where the leader is")
+	require.Empty(t, v.senders, "the leader's address is unknown before Join")
 
 	done, err := v.Join(ctx, addr, &message.JoinRequest{Node: 9, Peer: quorum.Peer{Name: "new"}})
 	require.NoError(t, err)
