--- a/control/voter/voter.go
+++ b/control/voter/voter.go
@@ -30,8 +30,8 @@
 	maxBatchLength = 64
 )
 
-// Voters sends messages to the other control instances. Each has its own queue, so
-// that one that doesn't answer doesn't delay the others.
+// Voters sends messages to the other control instances. Each has its own
+// queue, so that one that doesn't answer doesn't delay the others.
 type Voters struct {
 	ctx   context.Context
 	group *errgroup.Group
@@ -56,7 +56,7 @@
 	cancel  context.CancelFunc
 }
 
-// New returns Voters whose senders run in the group until ctx ends.
+// New returns a transport whose senders run in the group until ctx ends.
 func New(ctx context.Context, g *errgroup.Group, creds *rpc.Credentials, log *logs.Logger, clock catkinrail.Clock) *Voters {
 	return &Voters{ctx: ctx, group: g, creds: creds, log: log, clock: clock, senders: map[quorum.NodeID]*sender{}}
 }
@@ -202,8 +202,8 @@
 	t.leaderAddr = reply.Members.Nodes[reply.Leader].Addr
 }
 
-// Leader returns the address of the leader that a reply to Join named last, or an
-// empty string if it named none.
+// Leader returns the address of the leader that a reply to Join named last, or
+// an empty string if it named none.
 func (t *Voters) Leader() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/control/voter/voter_test.go
+++ b/control/voter/voter_test.go
@@ -60,17 +60,17 @@
 	var g errgroup.Group
 	g.Go(func() error { return rpc.Serve(ctx, listener, mux) })
 
-	v := New(ctx, &g, nil, logs.Discard(), clock.New())
+	transport := New(ctx, &g, nil, logs.Discard(), clock.New())
 	none := &quorum.Members{Nodes: map[quorum.NodeID]quorum.Peer{}}
 	answer := []quorum.Message{{Kind: quorum.AppendAnswer, From: 9, To: 7, Reject: true}}
-	v.Send(answer, none)
-	require.Empty(t, v.senders, "the leader's address is unknown before Join")
+	transport.Send(answer, none)
+	require.Empty(t, transport.senders, "the leader's address is unknown before Join")
 
-	done, err := v.Join(ctx, addr, &message.JoinRequest{Node: 9, Peer: quorum.Peer{Name: "new"}})
+	done, err := transport.Join(ctx, addr, &message.JoinRequest{Node: 9, Peer: quorum.Peer{Name: "new"}})
 	require.NoError(t, err)
 	require.False(t, done)
-	require.Equal(t, addr, v.Leader())
-	v.Send(answer, none)
+	require.Equal(t, addr, transport.Leader())
+	transport.Send(answer, none)
 	require.Equal(t, answer[0], <-l.steps)
 	cancel()
 	require.NoError(t, g.Wait())
--- a/coordination/quorum/node.go
+++ b/coordination/quorum/node.go
@@ -26,11 +26,11 @@
 
 // Timing sets a node's intervals and timeouts.
 type Timing struct {
-	// Heartbeat is the interval at which a leader sends to every other node.
+	// Heartbeat is the time between a leader's messages to another node.
 	Heartbeat time.Duration
-	// Election is the minimum time without a leader's message after which a node
-	// campaigns; the actual time is random and less than twice as long. It also
-	// bounds the leader's lease.
+	// Election is the minimum time without a leader's message after which
+	// a node campaigns; the actual time is random and less than twice as long. It
+	// also bounds the leader's lease.
 	Election time.Duration
 	// NoLease says that nothing relies on a leader's lease. A restarted node then
 	// votes at once and campaigns early, which shortens the recovery after all
@@ -177,8 +177,8 @@
 // Commit returns the index of the last committed entry.
 func (n *Node) Commit() uint64 { return n.log.commit }
 
-// Match returns, on the leader, the index up to which another node's log is known
-// to match its own.
+// Match returns, on the leader, the index up to which another node's log is
+// known to match its own.
 func (n *Node) Match(id NodeID) uint64 {
 	if p := n.progress[id]; p != nil {
 		return p.match
@@ -374,8 +374,8 @@
 	return n.log.slice(index+1, len(n.log.entries))
 }
 
-// Applied returns the index of the last entry that Ready returned in Committed.
+// Applied returns the index of the last entry that Ready returned as committed.
 func (n *Node) Applied() uint64 { return n.log.applied }
 
-// FirstIndex returns the index of the last entry that the latest snapshot covers.
+// FirstIndex returns the index of the last entry that the snapshot covers.
 func (n *Node) FirstIndex() uint64 { return n.log.snapshotIndex() }
--- a/coordination/quorum/read.go
+++ b/coordination/quorum/read.go
@@ -29,9 +29,9 @@
 	}) >= mark
 }
 
-// Unheard returns, on the leader, the nanoseconds since the sending of the latest
-// message that the node answered. They count from the leader's election or the
-// node's addition at the earliest.
+// Unheard returns, on the leader, the nanoseconds since the sending of
+// the latest message that the node answered. They count from the leader's election
+// or the node's addition at the earliest.
 func (n *Node) Unheard(id NodeID) int64 {
 	p := n.progress[id]
 	if p == nil {
--- a/state/journal/journal.go
+++ b/state/journal/journal.go
@@ -369,8 +369,8 @@
 	return j.size
 }
 
-// Full reports whether the current segment is large enough that a snapshot should
-// replace the log.
+// Full reports whether the current segment is large enough that a
+// snapshot should replace the log.
 func (j *Journal) Full() bool {
 	return j.size >= maxSegmentSize
 }
