--- a/control/voter/voter.go
+++ b/control/voter/voter.go
@@ -30,9 +30,9 @@
 	maxBatchLength = 64
 )
 
-// Voters sends messages to the other control instances. Each has its own
+// Transport sends messages to the other control instances. Each has its own
 // queue, so that one that doesn't answer doesn't delay the others.
-type Voters struct {
+type Transport struct {
 	ctx   context.Context
 	group *errgroup.Group
 	creds *rpc.Credentials
@@ -57,13 +57,13 @@
 }
 
 // New returns a transport whose senders run in the group until ctx ends.
-func New(ctx context.Context, g *errgroup.Group, creds *rpc.Credentials, log *logs.Logger, clock catkinrail.Clock) *Voters {
-	return &Voters{ctx: ctx, group: g, creds: creds, log: log, clock: clock, senders: map[quorum.NodeID]*sender{}}
+func New(ctx context.Context, g *errgroup.Group, creds *rpc.Credentials, log *logs.Logger, clock catkinrail.Clock) *Transport {
+	return &Transport{ctx: ctx, group: g, creds: creds, log: log, clock: clock, senders: map[quorum.NodeID]*sender{}}
 }
 
 // Send queues the messages. A message to a node without a known address or with a
 // full queue is dropped; the quorum tolerates lost messages.
-func (t *Voters) Send(list []quorum.Message, members *quorum.Members) {
+func (t *Transport) Send(list []quorum.Message, members *quorum.Members) {
 	for _, m := range list {
 		s := t.sender(m.To, members)
 		if s == nil {
@@ -78,7 +78,7 @@
 
 // sender returns the sender for a node, and replaces it if the node's address has
 // changed. It returns nil if it has no sender and the address is unknown.
-func (t *Voters) sender(id quorum.NodeID, members *quorum.Members) *sender {
+func (t *Transport) sender(id quorum.NodeID, members *quorum.Members) *sender {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	peer, ok := members.Nodes[id]
@@ -108,7 +108,7 @@
 	return s
 }
 
-func (t *Voters) runSender(ctx context.Context, s *sender) {
+func (t *Transport) runSender(ctx context.Context, s *sender) {
 	defer s.client.Close()
 	for {
 		select {
@@ -168,7 +168,7 @@
 // Join asks the control instance at addr to add a new member, and records the
 // members and the leader that the reply names. It reports whether the new member
 // has joined; if not, the request must be sent again.
-func (t *Voters) Join(ctx context.Context, addr string, req *message.JoinRequest) (done bool, err error) {
+func (t *Transport) Join(ctx context.Context, addr string, req *message.JoinRequest) (done bool, err error) {
 	body, err := cluster.Encode(req)
 	if err != nil {
 		return false, err
@@ -192,7 +192,7 @@
 
 // setContacts records the addresses of members that this instance's own log may
 // not contain yet.
-func (t *Voters) setContacts(reply *message.JoinReply) {
+func (t *Transport) setContacts(reply *message.JoinReply) {
 	if len(reply.Members.Nodes) == 0 {
 		return
 	}
@@ -202,9 +202,9 @@
 	t.leaderAddr = reply.Members.Nodes[reply.Leader].Addr
 }
 
-// Leader returns the address of the leader that a reply to Join named last, or
+// LeaderAddr returns the address of the leader that a reply to Join named last, or
 // an empty string if it named none.
-func (t *Voters) Leader() string {
+func (t *Transport) LeaderAddr() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.leaderAddr
--- a/coordination/quorum/election.go
+++ b/coordination/quorum/election.go
@@ -101,7 +101,7 @@
 // handleVoteRequest answers a PreVote or Vote. While a leader may hold a lease
 // that relies on this node, every candidate is rejected.
 func (n *Node) handleVoteRequest(m *Message) {
-	leased := n.now-n.lastLeaderContact < int64(n.timing.Election) || n.role == Leader
+	leased := n.now-n.lastLeaderContact < int64(n.timing.ElectionTimeout) || n.role == Leader
 	kind := VoteAnswer
 	if m.Kind == PreVote {
 		kind = PreVoteAnswer
@@ -167,7 +167,7 @@
 	for id := range n.members.Nodes {
 		n.progress[id] = &progress{next: n.log.last() + 1}
 	}
-	n.nextHeartbeat = n.now + int64(n.timing.Heartbeat)
+	n.nextHeartbeat = n.now + int64(n.timing.HeartbeatInterval)
 	// Entries of earlier terms are only committed together with one of this term.
 	if _, _, err := n.propose(Entry{Kind: EntryNoop}); err != nil {
 		panic(err)
--- a/coordination/quorum/node.go
+++ b/coordination/quorum/node.go
@@ -26,12 +26,12 @@
 
 // Timing sets a node's intervals and timeouts.
 type Timing struct {
-	// Heartbeat is the time between a leader's messages to another node.
-	Heartbeat time.Duration
-	// Election is the minimum time without a leader's message after which
+	// HeartbeatInterval is the time between a leader's messages to another node.
+	HeartbeatInterval time.Duration
+	// ElectionTimeout is the minimum time without a leader's message after which
 	// a node campaigns; the actual time is random and less than twice as long. It
 	// also bounds the leader's lease.
-	Election time.Duration
+	ElectionTimeout time.Duration
 	// NoLease says that nothing relies on a leader's lease. A restarted node then
 	// votes at once and campaigns early, which shortens the recovery after all
 	// nodes have stopped.
@@ -39,7 +39,7 @@
 }
 
 // DefaultTiming suits availability zones a few milliseconds apart.
-var DefaultTiming = Timing{Heartbeat: 60 * time.Millisecond, Election: 400 * time.Millisecond}
+var DefaultTiming = Timing{HeartbeatInterval: 60 * time.Millisecond, ElectionTimeout: 400 * time.Millisecond}
 
 // Limits of messages and timing.
 const (
@@ -130,8 +130,8 @@
 	n.refreshMembers()
 	n.resetElectionDeadline()
 	if timing.NoLease {
-		n.lastLeaderContact = now - int64(timing.Election)
-		span := int64(timing.Election) / startupElectionDivisor
+		n.lastLeaderContact = now - int64(timing.ElectionTimeout)
+		span := int64(timing.ElectionTimeout) / startupElectionDivisor
 		n.deadline = now + span + n.rng.Int64N(2*span)
 	}
 	return n
@@ -174,12 +174,12 @@
 // LastIndex returns the index of the last entry.
 func (n *Node) LastIndex() uint64 { return n.log.last() }
 
-// Commit returns the index of the last committed entry.
-func (n *Node) Commit() uint64 { return n.log.commit }
+// CommitIndex returns the index of the last committed entry.
+func (n *Node) CommitIndex() uint64 { return n.log.commit }
 
-// Match returns, on the leader, the index up to which another node's log is
+// MatchIndex returns, on the leader, the index up to which another node's log is
 // known to match its own.
-func (n *Node) Match(id NodeID) uint64 {
+func (n *Node) MatchIndex(id NodeID) uint64 {
 	if p := n.progress[id]; p != nil {
 		return p.match
 	}
@@ -187,7 +187,7 @@
 }
 
 func (n *Node) resetElectionDeadline() {
-	span := int64(n.timing.Election)
+	span := int64(n.timing.ElectionTimeout)
 	n.deadline = n.now + span + n.rng.Int64N(span)
 }
 
@@ -195,7 +195,7 @@
 // within milliseconds, so it waits less than for a leader. The wait is random, so
 // that candidates that split the vote don't campaign together again.
 func (n *Node) resetCampaignDeadline() {
-	span := int64(n.timing.Election) / campaignDivisor
+	span := int64(n.timing.ElectionTimeout) / campaignDivisor
 	n.deadline = n.now + span + n.rng.Int64N(2*span)
 }
 
@@ -219,7 +219,7 @@
 		}
 		return n.progress[id].acked
 	})
-	return acked + int64(n.timing.Election)*(100-maxClockDriftPercent)/100
+	return acked + int64(n.timing.ElectionTimeout)*(100-maxClockDriftPercent)/100
 }
 
 // quorumValue returns the greatest value that a majority of voters has reached.
@@ -251,12 +251,12 @@
 
 func (n *Node) tickLeader() {
 	if n.now >= n.nextHeartbeat {
-		n.nextHeartbeat = n.now + int64(n.timing.Heartbeat)
+		n.nextHeartbeat = n.now + int64(n.timing.HeartbeatInterval)
 		n.broadcast()
 	}
 	// A leader out of contact with a majority steps down, so that its clients look
 	// for another.
-	if n.now > max(n.leaseEnd(), n.electedAt)+int64(n.timing.Election) {
+	if n.now > max(n.leaseEnd(), n.electedAt)+int64(n.timing.ElectionTimeout) {
 		n.becomeFollower(n.hard.Term, 0)
 	}
 }
@@ -369,13 +369,13 @@
 	return r
 }
 
-// After returns the entries after the given index.
-func (n *Node) After(index uint64) []Entry {
+// EntriesAfter returns the entries after the given index.
+func (n *Node) EntriesAfter(index uint64) []Entry {
 	return n.log.slice(index+1, len(n.log.entries))
 }
 
-// Applied returns the index of the last entry that Ready returned as committed.
-func (n *Node) Applied() uint64 { return n.log.applied }
+// AppliedIndex returns the index of the last entry that Ready returned as committed.
+func (n *Node) AppliedIndex() uint64 { return n.log.applied }
 
-// FirstIndex returns the index of the last entry that the snapshot covers.
-func (n *Node) FirstIndex() uint64 { return n.log.snapshotIndex() }
+// SnapshotIndex returns the index of the last entry that the snapshot covers.
+func (n *Node) SnapshotIndex() uint64 { return n.log.snapshotIndex() }
--- a/coordination/quorum/quorum_test.go
+++ b/coordination/quorum/quorum_test.go
@@ -232,7 +232,7 @@
 	old := g.leader()
 	require.NotNil(t, old)
 	g.isolate(old.id, true)
-	g.run(quorum.DefaultTiming.Election)
+	g.run(quorum.DefaultTiming.ElectionTimeout)
 	require.False(t, old.node.Leading(g.localTime(old)))
 	g.run(3 * time.Second)
 	next := g.leader()
@@ -317,7 +317,7 @@
 	}
 	lead := g.leader()
 	s := lead.node.Snapshot([]byte("state"))
-	require.NoError(t, lead.journal.SaveSnapshot(s, lead.node.After(s.Index)))
+	require.NoError(t, lead.journal.SaveSnapshot(s, lead.node.EntriesAfter(s.Index)))
 	lead.node.Compact(s)
 	lost := g.order[0]
 	if lost == lead.id {
@@ -326,7 +326,7 @@
 	g.members[lost].down = true
 	g.add(9, nil)
 	g.run(2 * time.Second)
-	require.Zero(t, g.members[9].node.Commit(), "a node that isn't a member receives no entries")
+	require.Zero(t, g.members[9].node.CommitIndex(), "a node that isn't a member receives no entries")
 	for _, change := range []func(*quorum.Members){
 		func(m *quorum.Members) { m.Nodes[9] = quorum.Peer{Name: "again"}; m.Learners[9] = true },
 		func(m *quorum.Members) { delete(m.Nodes, lost) },
@@ -337,7 +337,7 @@
 		require.NoError(t, g.leader().node.ChangeMembers(next))
 		g.run(3 * time.Second)
 	}
-	require.Equal(t, g.leader().node.Commit(), g.members[9].node.Commit())
+	require.Equal(t, g.leader().node.CommitIndex(), g.members[9].node.CommitIndex())
 	require.True(t, g.leader().node.Members().Voter(9))
 	require.Equal(t, 3, g.leader().node.Members().Voters())
 }
--- a/coordination/quorum/read.go
+++ b/coordination/quorum/read.go
@@ -29,10 +29,10 @@
 	}) >= mark
 }
 
-// Unheard returns, on the leader, the nanoseconds since the sending of
+// SinceLastContact returns, on the leader, the nanoseconds since the sending of
 // the latest message that the node answered. They count from the leader's election
 // or the node's addition at the earliest.
-func (n *Node) Unheard(id NodeID) int64 {
+func (n *Node) SinceLastContact(id NodeID) int64 {
 	p := n.progress[id]
 	if p == nil {
 		return 0
--- a/state/journal/journal.go
+++ b/state/journal/journal.go
@@ -369,9 +369,9 @@
 	return j.size
 }
 
-// Full reports whether the current segment is large enough that a
+// NeedsSnapshot reports whether the current segment is large enough that a
 // snapshot should replace the log.
-func (j *Journal) Full() bool {
+func (j *Journal) NeedsSnapshot() bool {
 	return j.size >= maxSegmentSize
 }
 
