--- a/coordination/route/answer.go
+++ b/coordination/route/answer.go
@@ -15,7 +15,7 @@
 
 // answer decides for a bucket whose first replica this instance is.
 func (e *Engine) answer(r *request) Verdict {
-	seen := flow.Sighting{Now: r.now, Opening: r.opening, Closing: closing(r.h)}
+	seen := flow.PacketInfo{Now: r.now, Opening: r.opening, Closing: closing(r.h)}
 	rec, established, ok := e.flows.Touch(r.bucketID(), &r.h.Key, seen)
 	if ok {
 		return e.recorded(r, &rec, established || seen.Closing)
@@ -165,7 +165,7 @@
 // a caller repeats them. Otherwise it keeps silent.
 func (e *Engine) refuse(r *request, reason Reason) Verdict {
 	v := r.drop(reason)
-	since := max(e.flows.Forgot(r.bucketID()), e.viewSince.Load())
+	since := max(e.flows.LastUntracked(r.bucketID()), e.viewSince.Load())
 	if r.opening && r.h.Key.Proto == catkinrail.ProtoTCP && r.svc.tracked && since != 0 &&
 		time.Duration(r.now-since) > refuseAfter {
 		v.Action = Refuse
--- a/coordination/route/copies.go
+++ b/coordination/route/copies.go
@@ -143,7 +143,7 @@
 		n := uint32(hash(&list[i].Key, svc.seed) & svc.mask)
 		id := flow.Bucket{Service: svc.id, Number: n}
 		e.flows.Insert(id, &list[i], catkinrail.MaxBucketRecords)
-		e.flows.Stored(id, now)
+		e.flows.MarkStored(id, now)
 	}
 	p, ok := t.peers[m.Sender]
 	if !ok {
--- a/coordination/route/report.go
+++ b/coordination/route/report.go
@@ -37,7 +37,7 @@
 	buckets := t.byID[m.Service].buckets
 	for _, n := range m.Buckets {
 		id := flow.Bucket{Service: m.Service, Number: uint32(n)}
-		if e.flows.Elsewhere(id, buckets[n].Next) {
+		if e.flows.HasOtherSlot(id, buckets[n].Next) {
 			b.Elsewhere = true
 			break
 		}
--- a/coordination/route/zone.go
+++ b/coordination/route/zone.go
@@ -193,7 +193,7 @@
 	if len(holders) > 0 && holders[0] != e.Self() {
 		return e.relayTo(r, holders[0])
 	}
-	seen := flow.Sighting{Now: r.now, Opening: r.opening, Closing: closing(r.h)}
+	seen := flow.PacketInfo{Now: r.now, Opening: r.opening, Closing: closing(r.h)}
 	if rec, established, ok := e.flows.Touch(r.bucketID(), &r.h.Key, seen); ok {
 		if !view.reaches(r, rec.Slot) {
 			return r.drop(ReasonUnreachable)
@@ -298,7 +298,7 @@
 	if !e.zone.anyException.Load() {
 		return Verdict{}, false
 	}
-	rec, _, ok := e.flows.Touch(r.bucketID(), &r.h.Key, flow.Sighting{Now: r.now, Opening: r.opening, Closing: closing(r.h)})
+	rec, _, ok := e.flows.Touch(r.bucketID(), &r.h.Key, flow.PacketInfo{Now: r.now, Opening: r.opening, Closing: closing(r.h)})
 	if !ok {
 		return Verdict{}, false
 	}
--- a/state/flow/table.go
+++ b/state/flow/table.go
@@ -1,5 +1,5 @@
-// Package flow keeps the records of flows that are not where their bucket's
-// default says.
+// Package flow keeps the records of flows whose slot may differ from the default
+// slot of their bucket.
 package flow
 
 import (
@@ -10,34 +10,37 @@
 	"catkinrail.example/catkinrail"
 )
 
-// Ages at which records expire or are copied again.
+// Times after which records expire, may be evicted or are copied again.
 const (
-	// HalfOpenAge is how long a record outlives an opening packet that nobody
-	// followed up. It outlasts every retransmission of a SYN (127 s).
+	// HalfOpenAge is how long a record is kept after an opening packet that no
+	// later packet followed. It outlasts every retransmission of a SYN (127 s).
 	HalfOpenAge = 130 * time.Second
-	// ClosingAge is how long a record outlives the last packet of a flow that
-	// was seen to end. A caller may send its FIN early and read on for long.
+	// ClosingAge is how long a record is kept after the last packet of a closing
+	// flow, unless the idle timeout is shorter. A caller may send its FIN early and
+	// go on reading for long.
 	ClosingAge = 5 * time.Minute
-	// FirstRefreshAge is the age at which a record is first copied again to the
-	// other replicas, which don't see the flow's packets.
-	FirstRefreshAge = 30 * time.Second
-	// evictAge is the age from which half-open records make room for others.
+	// MinRefreshInterval is the minimum time before a record is copied again to
+	// the other replicas, which don't see the flow's packets.
+	MinRefreshInterval = 30 * time.Second
+	// evictAge is the age above which half-open records may be evicted to make
+	// room for others.
 	evictAge = time.Second
-	// sweepGap is the least time between two evictions in one bucket.
-	sweepGap = 100 * time.Millisecond
-	// keepAge is how long records stay although the configuration has no use for
-	// them. An instance may be sent records under a configuration that it hasn't
-	// received yet; it lags by less than a lease, or it would have none.
-	keepAge = 15 * time.Second
-	// refreshShare is the part of the idle timeout after which a record of a
-	// busy flow is copied again.
-	refreshShare = 4
+	// evictInterval is the minimum time between two evictions in one bucket.
+	evictInterval = 100 * time.Millisecond
+	// unneededRetention is how long a bucket's records are kept although the
+	// configuration doesn't need them here. They may belong to a configuration
+	// that this instance hasn't received yet. It lags behind by less than a
+	// lease, or it would hold none.
+	unneededRetention = 15 * time.Second
+	// refreshDivisor divides the idle timeout to give the interval at which records
+	// of active flows are copied again.
+	refreshDivisor = 4
 )
 
 // numShards is the number of independently locked parts of a table.
 const numShards = 64
 
-// Bucket names a bucket of a service.
+// Bucket identifies a bucket of a service.
 type Bucket struct {
 	Service catkinrail.ServiceID
 	Number  uint32
@@ -52,22 +55,27 @@
 
 type shard struct {
 	mu      sync.Mutex
-	buckets map[Bucket]*set
+	buckets map[Bucket]*recordSet
 }
 
-type set struct {
+// recordSet holds the records of one bucket. Its times are in nanoseconds of the
+// clock.
+type recordSet struct {
 	records map[catkinrail.FlowKey]entry
-	// forgotten is the time at which a half-open record was last dropped or an
-	// opening packet was last passed on without a record.
-	forgotten int64
-	swept     int64
-	// stored is the time at which a record was last stored.
-	stored int64
+	// untrackedAt is the time at which a half-open record was last removed or a
+	// record was last refused for lack of room.
+	untrackedAt int64
+	// evictedAt is the time of the last eviction.
+	evictedAt int64
+	// storedAt is the time at which a record was last stored.
+	storedAt int64
 }
 
 type entry struct {
 	catkinrail.Record
-	refreshed int64
+	// refreshedAt is the time at which the record was stored or last copied to
+	// the other replicas, in nanoseconds of the clock.
+	refreshedAt int64
 }
 
 // loads counts records by slot.
@@ -76,7 +84,7 @@
 	counts map[catkinrail.SlotID]*atomic.Int64
 }
 
-func (l *loads) of(slot catkinrail.SlotID) *atomic.Int64 {
+func (l *loads) counter(slot catkinrail.SlotID) *atomic.Int64 {
 	l.mu.RLock()
 	n := l.counts[slot]
 	l.mu.RUnlock()
@@ -95,35 +103,39 @@
 func New() *Table {
 	t := &Table{loads: loads{counts: map[catkinrail.SlotID]*atomic.Int64{}}}
 	for i := range t.shards {
-		t.shards[i].buckets = map[Bucket]*set{}
+		t.shards[i].buckets = map[Bucket]*recordSet{}
 	}
 	return t
 }
 
-// Len returns the number of records.
+// Len returns the number of records in the table.
 func (t *Table) Len() int {
 	return int(t.total.Load())
 }
 
-// Load returns the number of records that name the slot.
+// Load returns the number of records whose flows are on the slot.
 func (t *Table) Load(slot catkinrail.SlotID) int64 {
-	return t.loads.of(slot).Load()
+	return t.loads.counter(slot).Load()
 }
 
 func (t *Table) shard(b Bucket) *shard {
 	return &t.shards[(uint32(b.Service)*31+b.Number)%numShards]
 }
 
-// Sighting is what a packet tells about its flow.
-type Sighting struct {
-	Now     int64
+// PacketInfo describes a packet to the record of its flow.
+type PacketInfo struct {
+	// Now is the time of the packet, in nanoseconds of the clock.
+	Now int64
+	// Opening is set if the packet may open the flow.
 	Opening bool
+	// Closing is set if the packet ends one direction of the flow or resets it.
 	Closing bool
 }
 
-// Touch returns the record of a flow and notes that a packet of it passed. The
-// second result tells whether the packet established the flow.
-func (t *Table) Touch(b Bucket, key *catkinrail.FlowKey, s Sighting) (rec catkinrail.Record, established, ok bool) {
+// Touch updates the record of a flow with a packet and returns it. The second
+// result reports whether the packet established the flow, the third whether the
+// flow has a record.
+func (t *Table) Touch(b Bucket, key *catkinrail.FlowKey, s PacketInfo) (rec catkinrail.Record, established, ok bool) {
 	sh := t.shard(b)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -143,47 +155,49 @@
 	return e.Record, established, true
 }
 
-// Insert stores the record unless the bucket holds limit records already. If
-// the flow has a record, the one with the lower epoch stays. It returns the
-// record that is held, and whether one is.
+// Insert stores a record. If the flow already has one, the slot with the lower
+// epoch is kept. If the bucket already has limit records, it evicts old half-open
+// ones. It returns the record that is in the table, or false if there was no room.
 func (t *Table) Insert(b Bucket, r *catkinrail.Record, limit int) (catkinrail.Record, bool) {
 	sh := t.shard(b)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	s := sh.buckets[b]
 	if s == nil {
-		s = &set{records: map[catkinrail.FlowKey]entry{}}
+		s = &recordSet{records: map[catkinrail.FlowKey]entry{}}
 		sh.buckets[b] = s
 	}
-	s.stored = max(s.stored, r.Seen)
+	s.storedAt = max(s.storedAt, r.Seen)
 	if old, ok := s.records[r.Key]; ok {
 		return t.merge(s, old, r), true
 	}
 	if len(s.records) >= limit && !t.evict(s, r.Seen) {
-		s.forgotten = r.Seen
+		s.untrackedAt = r.Seen
 		return *r, false
 	}
-	s.records[r.Key] = entry{Record: *r, refreshed: r.Seen}
+	s.records[r.Key] = entry{Record: *r, refreshedAt: r.Seen}
 	t.total.Add(1)
-	t.loads.of(r.Slot).Add(1)
+	t.loads.counter(r.Slot).Add(1)
 	return *r, true
 }
 
-// Stored notes that the bucket's records are in use at the given time.
-func (t *Table) Stored(b Bucket, now int64) {
+// MarkStored records that the bucket received records at the given time. Records
+// copied from another replica need it, because they keep the time of the flow's
+// last packet.
+func (t *Table) MarkStored(b Bucket, now int64) {
 	sh := t.shard(b)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	if s := sh.buckets[b]; s != nil {
-		s.stored = max(s.stored, now)
+		s.storedAt = max(s.storedAt, now)
 	}
 }
 
-// merge joins two records of one flow.
-func (t *Table) merge(s *set, old entry, r *catkinrail.Record) catkinrail.Record {
+// merge combines a new record with the old one of the same flow.
+func (t *Table) merge(s *recordSet, old entry, r *catkinrail.Record) catkinrail.Record {
 	if r.Epoch < old.Epoch && r.Slot != old.Slot {
-		t.loads.of(old.Slot).Add(-1)
-		t.loads.of(r.Slot).Add(1)
+		t.loads.counter(old.Slot).Add(-1)
+		t.loads.counter(r.Slot).Add(1)
 		old.Slot, old.Epoch = r.Slot, r.Epoch
 	}
 	old.Established = old.Established || r.Established
@@ -193,26 +207,26 @@
 	return old.Record
 }
 
-// evict drops the half-open records that are older than evictAge and reports
-// whether there were any.
-func (t *Table) evict(s *set, now int64) bool {
-	if now-s.swept < int64(sweepGap) {
+// evict removes the half-open records that are older than evictAge. It reports
+// whether it removed any, and does nothing within evictInterval of the last time.
+func (t *Table) evict(s *recordSet, now int64) bool {
+	if now-s.evictedAt < int64(evictInterval) {
 		return false
 	}
-	s.swept = now
-	return t.dropIf(s, now, func(e *entry) bool {
+	s.evictedAt = now
+	return t.removeIf(s, now, func(e *entry) bool {
 		return !e.Established && now-e.Seen > int64(evictAge)
 	})
 }
 
-func (t *Table) dropIf(s *set, now int64, drop func(*entry) bool) bool {
+func (t *Table) removeIf(s *recordSet, now int64, drop func(*entry) bool) bool {
 	dropped := false
 	for k, e := range s.records {
 		if !drop(&e) {
 			continue
 		}
 		if !e.Established {
-			s.forgotten = now
+			s.untrackedAt = now
 		}
 		t.remove(s, k, e.Slot)
 		dropped = true
@@ -220,20 +234,21 @@
 	return dropped
 }
 
-func (t *Table) remove(s *set, k catkinrail.FlowKey, slot catkinrail.SlotID) {
+func (t *Table) remove(s *recordSet, k catkinrail.FlowKey, slot catkinrail.SlotID) {
 	delete(s.records, k)
 	t.total.Add(-1)
-	t.loads.of(slot).Add(-1)
+	t.loads.counter(slot).Add(-1)
 }
 
-// Forgot returns the time at which the bucket last lost track of an opening
-// packet, or zero.
-func (t *Table) Forgot(b Bucket) int64 {
+// LastUntracked returns the time at which the bucket last removed a half-open
+// record or had no room for a new one, or zero. An opening packet passed on before
+// that time may have no record.
+func (t *Table) LastUntracked(b Bucket) int64 {
 	sh := t.shard(b)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	if s := sh.buckets[b]; s != nil {
-		return s.forgotten
+		return s.untrackedAt
 	}
 	return 0
 }
@@ -254,9 +269,9 @@
 	return list
 }
 
-// Elsewhere reports whether a record of the bucket names another slot than the
+// HasOtherSlot reports whether any record of the bucket has a slot other than the
 // given one.
-func (t *Table) Elsewhere(b Bucket, slot catkinrail.SlotID) bool {
+func (t *Table) HasOtherSlot(b Bucket, slot catkinrail.SlotID) bool {
 	sh := t.shard(b)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -270,39 +285,40 @@
 	return false
 }
 
-// Policy tells what to do with a bucket's records.
+// Policy controls what Sweep does with a bucket's records.
 type Policy struct {
 	// Keep is false if the bucket's records are no longer needed here.
 	Keep bool
-	// Idle is the age at which the record of a silent flow expires.
+	// Idle is the idle timeout, after which the record of an established flow
+	// expires.
 	Idle time.Duration
 	// Refresh is set if this instance copies the records to other replicas.
 	Refresh bool
-	// Gone reports slots whose flows are lost.
+	// Gone, if set, reports whether the slot's flows are lost.
 	Gone func(catkinrail.SlotID) bool
 }
 
-// Sweep expires records in one shard, chosen by turn. It calls refresh with the
-// records that the other replicas should hear of again.
+// Sweep expires records in one shard, turn modulo Shards. It calls refresh for each
+// record that is due to be copied to the other replicas again.
 func (t *Table) Sweep(turn int, now int64, policy func(Bucket) Policy, refresh func(Bucket, *catkinrail.Record)) {
 	sh := &t.shards[turn%numShards]
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for b, s := range sh.buckets {
 		p := policy(b)
-		if !p.Keep && now-s.stored < int64(keepAge) {
+		if !p.Keep && now-s.storedAt < int64(unneededRetention) {
 			continue
 		}
 		if !p.Keep {
-			t.dropIf(s, now, func(*entry) bool { return true })
+			t.removeIf(s, now, func(*entry) bool { return true })
 			delete(sh.buckets, b)
 			continue
 		}
-		t.dropIf(s, now, func(e *entry) bool { return expired(e, now, &p) })
+		t.removeIf(s, now, func(e *entry) bool { return expired(e, now, &p) })
 		if p.Refresh {
-			refreshSet(b, s, now, p.Idle, refresh)
+			refreshRecords(b, s, now, p.Idle, refresh)
 		}
-		if len(s.records) == 0 && now-s.forgotten > int64(HalfOpenAge) {
+		if len(s.records) == 0 && now-s.untrackedAt > int64(HalfOpenAge) {
 			delete(sh.buckets, b)
 		}
 	}
@@ -321,17 +337,17 @@
 	return age > p.Idle
 }
 
-func refreshSet(b Bucket, s *set, now int64, idle time.Duration, refresh func(Bucket, *catkinrail.Record)) {
-	gap := int64(max(idle/refreshShare, FirstRefreshAge))
+func refreshRecords(b Bucket, s *recordSet, now int64, idle time.Duration, refresh func(Bucket, *catkinrail.Record)) {
+	gap := int64(max(idle/refreshDivisor, MinRefreshInterval))
 	for k, e := range s.records {
-		if !e.Established || e.Seen <= e.refreshed || now-e.refreshed < gap {
+		if !e.Established || e.Seen <= e.refreshedAt || now-e.refreshedAt < gap {
 			continue
 		}
-		e.refreshed = now
+		e.refreshedAt = now
 		s.records[k] = e
 		refresh(b, &e.Record)
 	}
 }
 
-// Shards is the number of turns of Sweep that visit the whole table.
+// Shards is the number of consecutive turns in which Sweep visits the whole table.
 const Shards = numShards
--- a/state/flow/table_test.go
+++ b/state/flow/table_test.go
@@ -62,7 +62,7 @@
 		{"established, silent for too long", true, false, false, 61 * time.Minute, false},
 		{"closing, young", true, true, false, 4 * time.Minute, true},
 		{"closing, old", true, true, false, 6 * time.Minute, false},
-		{"server gone", true, false, true, time.Second, false},
+		{"backend server ended", true, false, true, time.Second, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestUnneededRecordsStayForAWhile covers a replica that gets records before the
-// configuration that makes it one.
-func TestUnneededRecordsStayForAWhile(t *testing.T) {
+// TestUnneededRecordRetention checks that records are kept for a while on an
+// instance that receives them before the configuration that makes it a replica.
+func TestUnneededRecordRetention(t *testing.T) {
 	table := flow.New()
 	table.Insert(bucket, record(1, 16, 1, time.Second), 10)
 	sweep(table, 3*time.Second, flow.Policy{})
@@ -95,11 +95,11 @@
 		require.True(t, ok)
 	}
 	_, ok := table.Insert(bucket, record(100, 16, 1, 1500*time.Millisecond), 4)
-	require.False(t, ok, "none is old enough")
-	require.Equal(t, int64(1500*time.Millisecond), table.Forgot(bucket))
+	require.False(t, ok, "no half-open record is old enough to evict")
+	require.Equal(t, int64(1500*time.Millisecond), table.LastUntracked(bucket))
 	_, ok = table.Insert(bucket, record(101, 16, 1, 3*time.Second), 4)
 	require.True(t, ok)
-	require.Equal(t, int64(3*time.Second), table.Forgot(bucket))
+	require.Equal(t, int64(3*time.Second), table.LastUntracked(bucket))
 }
 
 func TestRefresh(t *testing.T) {
@@ -108,9 +108,9 @@
 	r.Established = true
 	table.Insert(bucket, r, 10)
 	p := flow.Policy{Keep: true, Idle: time.Hour, Refresh: true}
-	require.Zero(t, sweep(table, 20*time.Minute, p), "no packet came since")
+	require.Zero(t, sweep(table, 20*time.Minute, p), "no packet since the record was stored")
 	key := r.Key
-	_, _, ok := table.Touch(bucket, &key, flow.Sighting{Now: int64(20 * time.Minute)})
+	_, _, ok := table.Touch(bucket, &key, flow.PacketInfo{Now: int64(20 * time.Minute)})
 	require.True(t, ok)
 	require.Equal(t, 1, sweep(table, 20*time.Minute+time.Second, p))
 	require.Zero(t, sweep(table, 21*time.Minute, p))
