--- a/coordination/route/answer.go
+++ b/coordination/route/answer.go
@@ -9,55 +9,56 @@
 	"catkinrail.example/catkinrail/state/flow"
 )
 
-// refuseAfter is how long a bucket must not have lost track of an opening
-// packet before a refusal is known to be true.
-const refuseAfter = flow.HalfOpenAge
-
-// answer decides for a bucket whose first replica this instance is.
-func (e *Engine) answer(r *request) Verdict {
-	seen := flow.PacketInfo{Now: r.now, Opening: r.opening, Closing: closing(r.h)}
-	rec, established, ok := e.flows.Touch(r.bucketID(), &r.h.Key, seen)
+// minTrackingTime is how long an instance must have tracked all opening packets of
+// a bucket before it may refuse a flow: it then knows that none of the caller's
+// earlier opening packets was passed on.
+const minTrackingTime = flow.HalfOpenAge
+
+// decideAsHead decides about a packet whose bucket has this instance as its head.
+func (e *Engine) decideAsHead(r *request) Verdict {
+	packet := flow.PacketInfo{Now: r.now, Opening: r.opening, Closing: closing(r.h)}
+	rec, established, ok := e.flows.Touch(r.bucketID(), &r.h.Key, packet)
 	if ok {
-		return e.recorded(r, &rec, established || seen.Closing)
+		return e.decideRecorded(r, &rec, established || packet.Closing)
 	}
 	if r.h.Quoted {
-		return e.unrecorded(r)
+		return e.decideUnrecorded(r)
 	}
-	// A datagram without a record opens a flow. In Prepare it may belong to a
-	// flow from before, and is recorded where that flow is.
+	// A datagram without a record opens a flow. In Prepare it may also belong to
+	// an earlier flow; place then records it on the slot where that flow is.
 	if r.opening || r.h.Key.Proto == catkinrail.ProtoUDP {
 		r.opening = true
 		return e.admit(r)
 	}
-	return e.unrecorded(r)
+	return e.decideUnrecorded(r)
 }
 
 func closing(h *ip.Header) bool {
 	return h.Key.Proto == catkinrail.ProtoTCP && h.Flags&(ip.FlagFIN|ip.FlagRST) != 0
 }
 
-// recorded passes a packet on to the slot that its flow's record names. What
-// the other replicas must know about the flow travels along the chain.
-func (e *Engine) recorded(r *request, rec *catkinrail.Record, tell bool) Verdict {
-	if r.tooLate(rec) {
+// decideRecorded forwards a packet to the slot in its flow's record. If the packet
+// opens the flow or changes the record, it first visits the other replicas.
+func (e *Engine) decideRecorded(r *request, rec *catkinrail.Record, changed bool) Verdict {
+	if r.slotClosed(rec) {
 		return r.drop(ReasonLeaving)
 	}
-	if (r.opening || tell) && !r.h.Quoted {
-		return e.passAlong(r, r.b.lookup.members(), rec)
+	if (r.opening || changed) && !r.h.Quoted {
+		return e.replicate(r, r.b.lookup.members(), rec)
 	}
 	return r.forward(rec.Slot)
 }
 
-// tooLate reports whether an opening packet must not go where its record says:
-// the first one may have been lost on its way, and the slot takes no new flow
-// any more.
-func (r *request) tooLate(rec *catkinrail.Record) bool {
+// slotClosed reports whether a repeated opening packet must not go to the recorded
+// slot, because it no longer takes new flows. The first opening packet may have been
+// lost before it reached the slot.
+func (r *request) slotClosed(rec *catkinrail.Record) bool {
 	return r.opening && !rec.Established && !r.t.slots[rec.Slot].admits(r.now)
 }
 
-// unrecorded decides about a later packet of a flow without a record: the flow
-// is from before the move.
-func (e *Engine) unrecorded(r *request) Verdict {
+// decideUnrecorded decides about a later packet of a flow without a record. For a
+// hashed service, the flow was opened before the move and is on the current slot.
+func (e *Engine) decideUnrecorded(r *request) Verdict {
 	if r.svc.tracked {
 		return r.drop(ReasonNoRecord)
 	}
@@ -67,8 +68,7 @@
 	return r.forward(r.b.Cur)
 }
 
-// admit places a new flow, records it and passes its first packet along the
-// replicas.
+// admit places a new flow, records it and sends its first packet to the replicas.
 func (e *Engine) admit(r *request) Verdict {
 	id, reason := e.place(r)
 	if id == catkinrail.NoSlot {
@@ -77,12 +77,13 @@
 	rec := r.record(id)
 	held, ok := e.flows.Insert(r.bucketID(), &rec, r.svc.cfg.MaxRecords)
 	if !ok {
-		return e.overflow(r)
+		return e.decideOverflow(r)
 	}
-	return e.passAlong(r, r.b.lookup.members(), &held)
+	return e.replicate(r, r.b.lookup.members(), &held)
 }
 
-// record returns the record of a new flow. A UDP flow has no handshake.
+// record returns the record of a new flow. A UDP flow has no handshake, so it is
+// established at once.
 func (r *request) record(id catkinrail.SlotID) catkinrail.Record {
 	return catkinrail.Record{
 		Key: r.h.Key, Slot: id, Epoch: r.t.version, Seen: r.now,
@@ -90,10 +91,10 @@
 	}
 }
 
-// place chooses the slot of a new flow.
+// place chooses the slot of a new flow, or returns NoSlot and the reason.
 func (e *Engine) place(r *request) (catkinrail.SlotID, Reason) {
 	if r.svc.tracked {
-		return e.lessLoaded(r), ReasonNoBackend
+		return e.pickTracked(r), ReasonNoBackend
 	}
 	id := r.b.Cur
 	if r.b.Phase == catkinrail.Open {
@@ -105,27 +106,27 @@
 	return catkinrail.NoSlot, ReasonLeaving
 }
 
-// secondChoicePercent is the share of a tracked service's new flows that go to the
-// less loaded of two slots. It bounds what an added slot gets beyond its share.
+// secondChoicePercent is the percentage of a tracked service's new flows that go to
+// the less loaded of two slots. It limits what an added slot gets beyond its share.
 const secondChoicePercent = 14
 
-// lessLoaded picks a slot by the flow's hash and the slots' weights. For a part of
-// the flows it picks two, and returns the less loaded one.
-func (e *Engine) lessLoaded(r *request) catkinrail.SlotID {
+// pickTracked picks a slot by the flow's hash and the slots' weights. For
+// secondChoicePercent of the flows it picks two and returns the less loaded one.
+func (e *Engine) pickTracked(r *request) catkinrail.SlotID {
 	active := r.svc.active
 	if len(active) == 0 {
 		return catkinrail.NoSlot
 	}
 	h := mix(hash(&r.h.Key, r.svc.seed))
-	first := pick(active, h)
+	first := pickWeighted(active, h)
 	if h>>32%100 >= secondChoicePercent {
 		return first.slot
 	}
-	return e.leastLoaded([]weighted{first, pick(active, mix(h))})
+	return e.leastLoaded([]weightedSlot{first, pickWeighted(active, mix(h))})
 }
 
-// pick returns a slot, by weight, that belongs to the hash.
-func pick(active []weighted, h uint64) weighted {
+// pickWeighted returns the slot that the hash selects in proportion to the weights.
+func pickWeighted(active []weightedSlot, h uint64) weightedSlot {
 	total := int64(0)
 	for _, w := range active {
 		total += w.weight
@@ -139,8 +140,8 @@
 	return active[len(active)-1]
 }
 
-// leastLoaded returns the slot with the fewest records for its weight.
-func (e *Engine) leastLoaded(active []weighted) catkinrail.SlotID {
+// leastLoaded returns the slot with the fewest records in proportion to its weight.
+func (e *Engine) leastLoaded(active []weightedSlot) catkinrail.SlotID {
 	best, bestLoad, bestWeight := catkinrail.NoSlot, int64(0), int64(1)
 	for _, w := range active {
 		load := e.flows.Load(w.slot) + 1
@@ -151,31 +152,31 @@
 	return best
 }
 
-// overflow decides about a new flow for which there is no room: the current
-// slot needs no record.
-func (e *Engine) overflow(r *request) Verdict {
+// decideOverflow decides about a new flow whose record doesn't fit. The flow can use
+// the current slot, because packets without a record go there.
+func (e *Engine) decideOverflow(r *request) Verdict {
 	if !r.svc.tracked && r.b.slot != nil && r.b.slot.state == catkinrail.BackendActive {
 		return r.forward(r.b.Cur)
 	}
 	return e.refuse(r, ReasonLimit)
 }
 
-// refuse tells the caller that its request did not run, if that is known: this
-// instance must have kept track of the bucket's opening packets for as long as
-// a caller repeats them. Otherwise it keeps silent.
+// refuse refuses the caller's request if it is certain that the request did not run:
+// this instance must have tracked the bucket's opening packets for as long as a
+// caller retransmits them. Otherwise it drops the packet.
 func (e *Engine) refuse(r *request, reason Reason) Verdict {
 	v := r.drop(reason)
 	since := max(e.flows.LastUntracked(r.bucketID()), e.viewSince.Load())
 	if r.opening && r.h.Key.Proto == catkinrail.ProtoTCP && r.svc.tracked && since != 0 &&
-		time.Duration(r.now-since) > refuseAfter {
+		time.Duration(r.now-since) > minTrackingTime {
 		v.Action = Refuse
 	}
 	return v
 }
 
-// passAlong sends the packet with its record along the other holders of the
-// bucket's records, or to the slot if there are none.
-func (e *Engine) passAlong(r *request, holders []catkinrail.InstanceID, rec *catkinrail.Record) Verdict {
+// replicate sends the packet with its record along the other holders of the bucket's
+// records, or to the slot if there are none.
+func (e *Engine) replicate(r *request, holders []catkinrail.InstanceID, rec *catkinrail.Record) Verdict {
 	self := e.Self()
 	m := relay.Message{Kind: relay.Store, Sender: self}
 	for _, id := range holders {
@@ -185,13 +186,14 @@
 		m.Chain[m.Length] = id
 		m.Length++
 	}
-	return e.next(&m, r, rec)
+	return e.relayStore(&m, r, rec)
 }
 
-// next sends a Store to its next receiver. A receiver that isn't known was
-// removed since and is passed over, unless the sender's configuration is newer:
-// then it has joined, must hold the record, and the caller has to try again.
-func (e *Engine) next(m *relay.Message, r *request, rec *catkinrail.Record) Verdict {
+// relayStore sends a Store to its next receiver. A receiver that isn't in the
+// configuration has been removed and is skipped. If the sender's configuration is
+// newer, the receiver may have joined and must store the record: the packet is then
+// dropped and the caller retransmits it.
+func (e *Engine) relayStore(m *relay.Message, r *request, rec *catkinrail.Record) Verdict {
 	for ; m.At < m.Length; m.At++ {
 		p, ok := r.t.peers[m.Chain[m.At]]
 		if !ok && m.Version > r.t.version {
@@ -225,9 +227,9 @@
 	return flags
 }
 
-// store keeps the record that came with a packet and passes both on.
-func (e *Engine) store(m *relay.Message, r *request) Verdict {
-	if !e.Leased(r.now) && !e.zone.isCut() {
+// receiveStore stores the record that came with a packet and relays both.
+func (e *Engine) receiveStore(m *relay.Message, r *request) Verdict {
+	if !e.Leased(r.now) && !e.zone.isPartitioned() {
 		return r.drop(ReasonNoLease)
 	}
 	if m.At >= m.Length || m.Chain[m.At] != e.Self() {
@@ -238,11 +240,11 @@
 	rec.Closing = m.Flags&storeClosing != 0
 	held, ok := e.flows.Insert(r.bucketID(), &rec, r.svc.cfg.MaxRecords)
 	if ok && held.Slot != rec.Slot {
-		e.correct(m.Sender, &held)
+		e.queueCorrection(m.Sender, &held)
 	}
-	if e.zone.isCut() {
-		e.noteException(r.bucketID())
+	if e.zone.isPartitioned() {
+		e.addException(r.bucketID())
 	}
 	m.At++
-	return e.next(m, r, &held)
+	return e.relayStore(m, r, &held)
 }
--- a/coordination/route/copies.go
+++ b/coordination/route/copies.go
@@ -10,35 +10,36 @@
 	"catkinrail.example/catkinrail/state/flow"
 )
 
-// Pacing of record copies.
+// Limits and intervals for sending record copies.
 const (
-	// copiesPerTick bounds the Copy messages that one Tick sends.
-	copiesPerTick = 32
-	// copyRetry is the time after which an unconfirmed Copy is sent again.
-	copyRetry = 200 * time.Millisecond
-	// refreshTries is how often a Copy is sent that no change of view waits for.
-	refreshTries = 4
+	// maxCopiesPerTick is the maximum number of Copy messages that one Tick sends.
+	maxCopiesPerTick = 32
+	// copyRetryInterval is the time after which an unconfirmed Copy is sent again.
+	copyRetryInterval = 200 * time.Millisecond
+	// maxRefreshAttempts is how often a Copy is sent if neither a change of view
+	// nor a merge depends on it.
+	maxRefreshAttempts = 4
 )
 
 // copier sends flow records to other replicas until they confirm them.
 type copier struct {
 	seq uint32
-	// view is the version of the view whose new replicas are being served.
+	// view is the version of the view whose new replicas startCopies last served.
 	view    uint64
 	pending map[uint32]*copyBatch
-	// refresh collects records to send at the next tick, by receiver.
+	// refresh holds the records to queue in the current sweep, by receiver.
 	refresh map[catkinrail.InstanceID][]catkinrail.Record
 }
 
 type copyBatch struct {
-	to      catkinrail.InstanceID
-	records []catkinrail.Record
-	sent    int64
-	tries   int
-	// forView is set if the change of view waits for the batch.
+	to       catkinrail.InstanceID
+	records  []catkinrail.Record
+	sentAt   int64
+	attempts int
+	// forView is set if the change of view can't go on before the batch is confirmed.
 	forView bool
-	// done is called once the batch is confirmed.
-	done func()
+	// onAck, if set, is called once the batch is confirmed.
+	onAck func()
 }
 
 func newCopier() copier {
@@ -53,14 +54,14 @@
 	n := 0
 	for chunk := range slices.Chunk(list, relay.MaxRecords) {
 		c.seq++
-		c.pending[c.seq] = &copyBatch{to: to, records: chunk, forView: forView, done: done}
+		c.pending[c.seq] = &copyBatch{to: to, records: chunk, forView: forView, onAck: done}
 		n++
 	}
 	return n
 }
 
-// startCopies begins to serve the new replicas of a view in Prepare. Only the
-// first replica that is left of each bucket sends its records.
+// startCopies queues the records that the new replicas of a view in Prepare need.
+// Only the first remaining replica of each bucket sends that bucket's records.
 func (e *Engine) startCopies(t *table) {
 	if t.view.Phase != catkinrail.Prepare || t.view.Version == e.copies.view {
 		return
@@ -72,11 +73,11 @@
 	for _, svc := range t.byID {
 		for n := range svc.buckets {
 			l := svc.buckets[n].lookup
-			if l == nil || l.base == 0 || l.chain[0] != self || l.base == l.length {
+			if l == nil || l.baseLength == 0 || l.chain[0] != self || l.baseLength == l.length {
 				continue
 			}
 			list := e.flows.Records(flow.Bucket{Service: svc.id, Number: uint32(n)})
-			for _, id := range l.chain[l.base:l.length] {
+			for _, id := range l.chain[l.baseLength:l.length] {
 				byReceiver[id] = append(byReceiver[id], list...)
 			}
 		}
@@ -86,8 +87,8 @@
 	}
 }
 
-// Synced returns the version of the view for which this instance has handed
-// over its records.
+// Synced returns the version of the view for which all new replicas have confirmed
+// this instance's records, or zero while copies are pending.
 func (e *Engine) Synced() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -103,14 +104,15 @@
 	return e.copies.view
 }
 
-// correct tells the sender of a record that the flow has an earlier one.
-func (e *Engine) correct(to catkinrail.InstanceID, held *catkinrail.Record) {
+// queueCorrection queues a Copy of an earlier record of the same flow to the sender
+// of a record.
+func (e *Engine) queueCorrection(to catkinrail.InstanceID, held *catkinrail.Record) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.copies.add(to, []catkinrail.Record{*held}, false, nil)
 }
 
-// Receive handles a message without a packet and returns the answers to it.
+// Receive handles a message that carries no packet and returns the replies to send.
 func (e *Engine) Receive(m *relay.Message, payload []byte, now int64) ([]Send, error) {
 	switch m.Kind {
 	case relay.Copy:
@@ -131,7 +133,8 @@
 		return nil, err
 	}
 	t := e.table.Load()
-	// A replica that lags behind the sender would drop the records as unneeded.
+	// With an older configuration than the sender's, this instance might remove the
+	// records as unneeded. It doesn't confirm them, so that the sender retries.
 	if t.version < m.Version {
 		return nil, nil
 	}
@@ -161,13 +164,13 @@
 		return
 	}
 	delete(e.copies.pending, seq)
-	if b.done != nil {
-		b.done()
+	if b.onAck != nil {
+		b.onAck()
 	}
 }
 
-// Tick does the work that is due: it sends copies, expires records in a part of
-// the table and, without a lease, probes the zone.
+// Tick expires records in one shard of the table, merges exceptions and returns the
+// messages that are due: copies and, without a lease, probes.
 func (e *Engine) Tick(now int64) []Send {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -188,8 +191,8 @@
 			}
 		}
 	}
-	e.flows.Sweep(e.turn, now, policy, refresh)
-	e.turn++
+	e.flows.Sweep(e.sweepTurn, now, policy, refresh)
+	e.sweepTurn++
 	for _, id := range slices.Sorted(maps.Keys(e.copies.refresh)) {
 		e.copies.add(id, e.copies.refresh[id], false, nil)
 		delete(e.copies.refresh, id)
@@ -216,20 +219,20 @@
 func (e *Engine) sendCopies(t *table, now int64) []Send {
 	var out []Send
 	for _, seq := range slices.Sorted(maps.Keys(e.copies.pending)) {
-		if len(out) == copiesPerTick {
+		if len(out) == maxCopiesPerTick {
 			break
 		}
 		b := e.copies.pending[seq]
-		if b.tries > 0 && now-b.sent < int64(copyRetry) {
+		if b.attempts > 0 && now-b.sentAt < int64(copyRetryInterval) {
 			continue
 		}
 		p, ok := t.peers[b.to]
-		if !ok || (!b.forView && b.done == nil && b.tries == refreshTries) {
+		if !ok || (!b.forView && b.onAck == nil && b.attempts == maxRefreshAttempts) {
 			delete(e.copies.pending, seq)
 			continue
 		}
-		b.tries++
-		b.sent = now
+		b.attempts++
+		b.sentAt = now
 		m := relay.Message{Kind: relay.Copy, Sender: e.Self(), Version: t.version, View: t.view.Version, Seq: seq}
 		var payload []byte
 		for i := range b.records {
--- a/coordination/route/engine.go
+++ b/coordination/route/engine.go
@@ -1,6 +1,6 @@
-// Package route decides where each packet goes. It is pure decision logic: time
-// is passed in, packets and messages come as typed values, and what must be
-// sent is returned.
+// Package route decides where an entry instance sends each packet. It does no I/O and
+// reads no clock: callers pass in times, packets and messages, and the engine returns
+// what must be sent.
 package route
 
 import (
@@ -19,10 +19,10 @@
 	"catkinrail.example/catkinrail/state/flow"
 )
 
-// leaveBound is how long after hearing of a drain an instance may still place
-// new flows on the backend server that leaves. It is below the 5 s that callers
-// are promised, by more than the longest lease.
-const leaveBound = 2800 * time.Millisecond
+// drainGracePeriod is how long an instance may still place new flows on a backend
+// server after it received the change that drains it. Together with the longest
+// lease, it stays below the 5 s that callers are promised.
+const drainGracePeriod = 2800 * time.Millisecond
 
 // Action says what to do with a packet.
 type Action uint8
@@ -39,7 +39,7 @@
 	Refuse
 )
 
-// Reason says why a packet was dropped or refused.
+// Reason is the reason why a packet was dropped or refused.
 type Reason uint8
 
 // Reasons.
@@ -63,7 +63,7 @@
 	"unreachable", "hops", "no-peer", "limit", "packet",
 }
 
-// String returns the name under which the reason is counted.
+// String returns the name that identifies the reason in metrics.
 func (r Reason) String() string {
 	if r >= numReasons {
 		return "unknown"
@@ -71,7 +71,7 @@
 	return reasonNames[r]
 }
 
-// Reasons lists all reasons.
+// Reasons returns all reasons.
 func Reasons() []Reason {
 	list := make([]Reason, numReasons)
 	for i := range list {
@@ -85,17 +85,17 @@
 	Action  Action
 	Reason  Reason
 	Service catkinrail.ServiceID
-	// Slot is the destination of Forward.
+	// Slot is the slot that a packet is forwarded to.
 	Slot catkinrail.SlotID
 	// Opening is set if the packet opens a flow.
 	Opening bool
-	// Addr is the address to send to.
+	// Addr is the address that the packet is sent to.
 	Addr netip.AddrPort
-	// Message accompanies the packet if the action is Relay.
+	// Message is sent with the packet if Action is Relay.
 	Message relay.Message
 }
 
-// Send is a message without a packet.
+// Send is a message to another entry instance that carries no packet.
 type Send struct {
 	To      catkinrail.InstanceID
 	Addr    netip.AddrPort
@@ -106,13 +106,13 @@
 // Config holds the settings of an engine.
 type Config struct {
 	Zone catkinrail.Zone
-	// Copies is the number of instances that hold a record; zero means
+	// Copies is the number of instances that hold each record. Zero means
 	// NumReplicas.
 	Copies int
 }
 
-// Engine decides for one entry instance. Packet and Relayed may be called
-// concurrently; Update, Tick and SetSelf are serialised by the engine.
+// Engine makes the decisions of one entry instance. Its methods are safe for
+// concurrent use.
 type Engine struct {
 	cfg   Config
 	self  atomic.Uint32
@@ -120,17 +120,18 @@
 	lease atomic.Int64
 	flows *flow.Table
 	zone  zoneState
-	// viewSince is the time since which the replica view is unchanged.
+	// viewSince is the time of the last change of the replica view, in nanoseconds of
+	// the clock, or zero.
 	viewSince atomic.Int64
 
-	mu     sync.Mutex
-	state  *cluster.State
-	turn   int
-	copies copier
+	mu        sync.Mutex
+	state     *cluster.State
+	sweepTurn int
+	copies    copier
 }
 
-// New returns an engine without configuration. Until Update and SetLease were
-// called it drops every packet.
+// New returns an engine without configuration. It drops every packet until Update and
+// SetLease have been called.
 func New(cfg Config) *Engine {
 	if cfg.Copies == 0 {
 		cfg.Copies = NumReplicas
@@ -153,7 +154,7 @@
 }
 
 // SetLease extends the lease to the given time, in nanoseconds of the clock. An
-// answer that was overtaken by a later one doesn't shorten it.
+// earlier time is ignored, so that a late reply doesn't shorten the lease.
 func (e *Engine) SetLease(until int64) {
 	for {
 		old := e.lease.Load()
@@ -163,7 +164,7 @@
 	}
 }
 
-// Leased reports whether the lease lasts at the given time.
+// Leased reports whether the lease is valid at the given time.
 func (e *Engine) Leased(now int64) bool {
 	return now < e.lease.Load()
 }
@@ -173,7 +174,7 @@
 	return e.table.Load().version
 }
 
-// Released reports whether the view no longer needs this instance.
+// Released reports whether the view is settled and doesn't include this instance.
 func (e *Engine) Released() bool {
 	v := &e.table.Load().view
 	self := e.Self()
@@ -195,8 +196,8 @@
 	return e.flows.Len()
 }
 
-// Update applies changes that follow the version in force. A change at or below
-// that version is skipped; a gap is an error and leaves the version as it is.
+// Update applies changes that follow the version in force. Changes at or below that
+// version are skipped. A gap is an error and leaves the version in force as it is.
 func (e *Engine) Update(changes []cluster.Change, now int64) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -215,7 +216,7 @@
 	return nil
 }
 
-// Replace takes over a whole state, unless it is older than the one in force.
+// Replace replaces the whole state, unless the given one is not newer.
 func (e *Engine) Replace(s *cluster.State, now int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -226,7 +227,7 @@
 	e.publish(now)
 }
 
-// publish makes the current state the one that packets see.
+// publish compiles the current state into the table that packets are looked up in.
 func (e *Engine) publish(now int64) {
 	old := e.table.Load()
 	t := e.compile(e.state, old, now)
@@ -248,7 +249,7 @@
 	return xxh3.HashSeed(b[:], seed)
 }
 
-// request is one packet under decision.
+// request is a packet that is being decided about.
 type request struct {
 	h   *ip.Header
 	now int64
@@ -256,8 +257,8 @@
 	svc *service
 	n   int
 	b   *bucket
-	// opening is set if the packet may be the first of its flow and must then
-	// get a record.
+	// opening is set if the packet may be the first of its flow and must then get
+	// a record.
 	opening bool
 	hops    uint8
 }
@@ -266,7 +267,7 @@
 	return flow.Bucket{Service: r.svc.id, Number: uint32(r.n)}
 }
 
-func (e *Engine) request(h *ip.Header, now int64) (request, bool) {
+func (e *Engine) newRequest(h *ip.Header, now int64) (request, bool) {
 	t := e.table.Load()
 	svc := t.services[endpointOfFlow(&h.Key)]
 	if svc == nil {
@@ -276,8 +277,8 @@
 	return request{h: h, now: now, t: t, svc: svc, n: n, b: &svc.buckets[n], opening: h.Opening()}, true
 }
 
-// Packet decides about a packet from the fabric. Most packets are later ones of
-// settled buckets; the way for them is short.
+// Packet decides about a packet from the fabric. Most are later packets of
+// settled buckets, which take the short path.
 func (e *Engine) Packet(h *ip.Header, now int64) (v Verdict) {
 	t := e.table.Load()
 	svc := t.services[endpointOfFlow(&h.Key)]
@@ -301,32 +302,32 @@
 	}
 	l := r.b.lookup
 	if l == nil {
-		if v, ok := e.exception(r); ok {
+		if v, ok := e.decideException(r); ok {
 			return v
 		}
-		return e.settled(r)
+		return e.decideSettled(r)
 	}
 	if l.length == 0 {
-		return e.withoutReplicas(r)
+		return e.decideWithoutReplicas(r)
 	}
 	if l.head == e.Self() {
-		return e.answer(r)
+		return e.decideAsHead(r)
 	}
 	return e.relayTo(r, l.head)
 }
 
-// withoutReplicas decides before the first view names replicas. A record that only
-// this instance held would be missing wherever the flow's next packet enters, so
-// the caller has to try again.
-func (e *Engine) withoutReplicas(r *request) Verdict {
+// decideWithoutReplicas decides before the first view, when there are no replicas. A
+// record stored only here would be missing on the instance that receives the flow's
+// next packet, so a new flow is dropped and the caller retries.
+func (e *Engine) decideWithoutReplicas(r *request) Verdict {
 	if r.opening || r.h.Key.Proto == catkinrail.ProtoUDP {
 		return r.drop(ReasonNoPeer)
 	}
-	return e.unrecorded(r)
+	return e.decideUnrecorded(r)
 }
 
-// settled decides for a bucket that has all its flows on one slot.
-func (e *Engine) settled(r *request) Verdict {
+// decideSettled decides about a packet whose bucket has all its flows on one slot.
+func (e *Engine) decideSettled(r *request) Verdict {
 	if !r.b.settled() {
 		return r.drop(ReasonNoBackend)
 	}
@@ -352,13 +353,13 @@
 	return Verdict{Action: Forward, Service: r.svc.id, Slot: s.id, Addr: s.addr, Opening: r.opening}
 }
 
-// settled reports whether all flows of the bucket are on one slot that has not
-// lost them.
+// settled reports whether all flows of the bucket are on one slot whose backend
+// server hasn't ended.
 func (b *bucket) settled() bool {
 	return b.lookup == nil && b.slot != nil && b.slot.state != catkinrail.BackendGone
 }
 
-// relayTo passes the packet to another instance, which decides.
+// relayTo relays the packet to another instance, which decides about it.
 func (e *Engine) relayTo(r *request, to catkinrail.InstanceID) Verdict {
 	p, ok := r.t.peers[to]
 	if !ok {
@@ -374,15 +375,15 @@
 	return v
 }
 
-// Relayed decides about a packet that another instance passed on.
+// Relayed decides about a packet that another instance relayed.
 func (e *Engine) Relayed(m *relay.Message, h *ip.Header, now int64) Verdict {
-	r, ok := e.request(h, now)
+	r, ok := e.newRequest(h, now)
 	if !ok {
 		return Verdict{Reason: ReasonNoService}
 	}
 	r.hops = m.Hops
 	if m.Kind == relay.Store {
-		return e.store(m, &r)
+		return e.receiveStore(m, &r)
 	}
 	return e.decide(&r)
 }
--- a/coordination/route/engine_test.go
+++ b/coordination/route/engine_test.go
@@ -22,8 +22,8 @@
 
 var serviceAddr = netip.MustParseAddrPort("192.0.2.1:443")
 
-// newEngine returns an engine of instance 1 in a view of three, with a lease, two
-// backend servers, and every bucket as given.
+// newEngine returns the engine of instance 1 in a view of three instances. It has a
+// lease, two backend servers, and the given value in every bucket.
 func newEngine(t *testing.T, balance catkinrail.Balance, value catkinrail.Bucket) *route.Engine {
 	t.Helper()
 	cfg := catkinrail.ServiceConfig{Name: logbook, Addr: serviceAddr, Balance: balance, Buckets: 64}
@@ -59,7 +59,7 @@
 	}}
 }
 
-// TestStore covers what a replica does with a packet that carries a record.
+// TestStore checks what a replica does with a packet that carries a record.
 func TestStore(t *testing.T) {
 	open := catkinrail.Bucket{Cur: first, Next: other, Phase: catkinrail.Open}
 	tests := []struct {
@@ -70,22 +70,22 @@
 		slot   catkinrail.SlotID
 	}{
 		{
-			"last of the chain passes the packet on",
+			"last replica of the chain forwards the packet",
 			relay.Message{Kind: relay.Store, Slot: other, Epoch: 1, Version: 1, Chain: [6]catkinrail.InstanceID{2, 1}, Length: 2, At: 1},
 			route.Forward, route.ReasonNone, other,
 		},
 		{
-			"an instance that has left is passed over",
+			"an instance that has left is skipped",
 			relay.Message{Kind: relay.Store, Slot: other, Epoch: 1, Version: 1, Chain: [6]catkinrail.InstanceID{1, 9}, Length: 2, At: 0},
 			route.Forward, route.ReasonNone, other,
 		},
 		{
-			"an instance that has joined is not passed over",
+			"an instance that has joined is not skipped",
 			relay.Message{Kind: relay.Store, Slot: other, Epoch: 1, Version: 2, Chain: [6]catkinrail.InstanceID{1, 9}, Length: 2, At: 0},
 			route.Drop, route.ReasonNoPeer, 0,
 		},
 		{
-			"meant for another instance",
+			"addressed to another instance",
 			relay.Message{Kind: relay.Store, Slot: other, Epoch: 1, Version: 1, Chain: [6]catkinrail.InstanceID{2, 3}, Length: 2, At: 0},
 			route.Drop, route.ReasonNoPeer, 0,
 		},
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestStoreKeepsTheEarlierRecord checks that a flow goes where it was first
-// placed, whichever record comes second.
+// TestStoreKeepsTheEarlierRecord checks that a flow stays where it was first placed,
+// even if another record for it arrives later.
 func TestStoreKeepsTheEarlierRecord(t *testing.T) {
 	e := newEngine(t, catkinrail.BalanceHashed, catkinrail.Bucket{Cur: first, Next: other, Phase: catkinrail.Open})
 	store := func(slot catkinrail.SlotID, epoch uint64) route.Verdict {
@@ -112,7 +112,7 @@
 	require.Equal(t, other, store(other, 5).Slot)
 	require.Equal(t, other, store(first, 8).Slot)
 	sends := e.Tick(2 * second)
-	require.NotEmpty(t, sends, "the sender is told")
+	require.NotEmpty(t, sends, "a copy of the earlier record for the sender")
 	require.Equal(t, catkinrail.InstanceID(2), sends[0].To)
 }
 
@@ -129,13 +129,13 @@
 		t.Run(tt.name, func(t *testing.T) {
 			e := newEngine(t, catkinrail.BalanceHashed, catkinrail.Bucket{Cur: first})
 			e.SetLease(50 * second)
-			require.Equal(t, tt.action, e.Packet(header(1, ip.FlagACK), tt.now).Action, "a lease doesn't shrink")
+			require.Equal(t, tt.action, e.Packet(header(1, ip.FlagACK), tt.now).Action, "an earlier end doesn't shorten the lease")
 		})
 	}
 }
 
-// TestRefusal checks that an instance refuses only if it must know of every
-// packet that opened a flow.
+// TestRefusal checks that an instance refuses flows only after it has tracked opening
+// packets for longer than a caller repeats them.
 func TestRefusal(t *testing.T) {
 	draining := []cluster.Event{}
 	for id := catkinrail.BackendID(1); id <= 2; id++ {
@@ -148,7 +148,7 @@
 		now    int64
 		action route.Action
 	}{
-		{"view is young", 100 * second, route.Drop},
+		{"view is too recent", 100 * second, route.Drop},
 		{"view is older than any repeated packet", 140 * second, route.Refuse},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -166,9 +166,9 @@
 	}
 }
 
-// TestNoViewYet opens a flow before any view names replicas, as in the first
-// second of a new cluster.
-func TestNoViewYet(t *testing.T) {
+// TestOpeningBeforeFirstView opens a flow before the first view names replicas, as in
+// the first second of a new cluster.
+func TestOpeningBeforeFirstView(t *testing.T) {
 	tests := []struct {
 		name    string
 		balance catkinrail.Balance
--- a/coordination/route/main_test.go
+++ b/coordination/route/main_test.go
@@ -7,7 +7,8 @@
 	"catkinrail.example/catkinrail/testseed"
 )
 
-// TestMain fixes the seed of the property tests, whose runs take about a second each.
+// TestMain fixes the seed of the property tests and limits them to 20 runs, which take
+// about a second each.
 func TestMain(m *testing.M) {
 	os.Exit(testseed.Main(m, 20))
 }
--- a/coordination/route/replicas.go
+++ b/coordination/route/replicas.go
@@ -7,20 +7,21 @@
 	"catkinrail.example/catkinrail/protocol/relay"
 )
 
-// NumReplicas is the number of instances that hold a record. Three outlast the
-// loss of a second instance before the copies after the first are done.
+// NumReplicas is the number of instances that hold each record. With three, records
+// survive the loss of a second instance before the copies that replace the first one
+// are complete.
 const NumReplicas = 3
 
-// replicas are the instances that hold the records of one bucket.
+// replicas are the instances that hold the records of a bucket.
 type replicas struct {
-	// head answers for the bucket.
+	// head is the instance that decides for the bucket.
 	head catkinrail.InstanceID
-	// chain lists all holders, in the order that an opening packet visits them.
+	// chain lists all replicas, in the order in which an opening packet visits them.
 	chain  [relay.MaxChain]catkinrail.InstanceID
 	length uint8
-	// base is the number of holders, at the front of the chain, that hold the
-	// records of the settled view.
-	base uint8
+	// baseLength is the number of replicas, at the front of the chain, that belong to
+	// the settled view and hold all records.
+	baseLength uint8
 }
 
 func (r *replicas) members() []catkinrail.InstanceID {
@@ -31,16 +32,16 @@
 	return slices.Contains(r.members(), id)
 }
 
-// member is an instance as a candidate for replicas.
+// member is an instance of a view, as a candidate replica.
 type member struct {
 	id   catkinrail.InstanceID
 	zone catkinrail.Zone
-	// lane is a hash of the identifier, mixed with each bucket's hash.
-	lane uint64
+	// hash is a hash of the identifier. It is combined with each bucket's hash.
+	hash uint64
 }
 
 func newMember(id catkinrail.InstanceID, zone catkinrail.Zone) member {
-	return member{id: id, zone: zone, lane: mix(uint64(id) * 0x9e3779b97f4a7c15)}
+	return member{id: id, zone: zone, hash: mix(uint64(id) * 0x9e3779b97f4a7c15)}
 }
 
 // mix spreads the bits of x (the finaliser of SplitMix64).
@@ -52,18 +53,18 @@
 	return x ^ x>>31
 }
 
-// rank returns up to n members for a bucket by rendezvous hashing. While some
-// zone has none of them, members of zones that have one already come later.
+// rank returns up to n members for a bucket by rendezvous hashing. It takes members
+// of zones that aren't represented yet before it takes a second one of a zone.
 func rank(members []member, bucket uint64, n int, out []member) []member {
 	out = out[:0]
 	for len(out) < n {
 		best, bestScore, found := member{}, uint64(0), false
-		for _, fresh := range []bool{true, false} {
+		for _, newZoneOnly := range []bool{true, false} {
 			for _, m := range members {
-				if contains(out, m.id) || (fresh && hasZone(out, m.zone)) {
+				if contains(out, m.id) || (newZoneOnly && hasZone(out, m.zone)) {
 					continue
 				}
-				if score := mix(m.lane ^ bucket); !found || score > bestScore {
+				if score := mix(m.hash ^ bucket); !found || score > bestScore {
 					best, bestScore, found = m, score, true
 				}
 			}
@@ -87,13 +88,13 @@
 	return slices.ContainsFunc(list, func(m member) bool { return m.zone == zone })
 }
 
-// bucketHash seeds the choice of replicas for a bucket.
+// bucketHash returns the hash by which members are ranked for a bucket.
 func bucketHash(service catkinrail.ServiceID, n int) uint64 {
 	return mix(uint64(service)<<32 | uint64(n))
 }
 
-// ranking chooses replicas under one view.
-type ranking struct {
+// replicaChooser chooses the replicas of buckets under one view.
+type replicaChooser struct {
 	phase        catkinrail.Phase
 	base, target []member
 	dead         []catkinrail.InstanceID
@@ -101,8 +102,8 @@
 	scratch      [2][]member
 }
 
-func newRanking(v *catkinrail.View, copies int) *ranking {
-	r := &ranking{phase: v.Phase, dead: v.Dead, copies: copies}
+func newReplicaChooser(v *catkinrail.View, copies int) *replicaChooser {
+	r := &replicaChooser{phase: v.Phase, dead: v.Dead, copies: copies}
 	for _, id := range v.Base {
 		r.base = append(r.base, newMember(id, v.Zones[id]))
 	}
@@ -112,12 +113,12 @@
 	return r
 }
 
-// of returns the replicas of a bucket.
+// choose returns the replicas of the bucket with the given hash.
 //
-// The first members are those of the settled view that are left; they hold all
-// records. While the view changes, the later view's members follow, so that
+// The chain starts with the remaining replicas of the settled view, which hold all
+// records. While the view changes, the replicas of the next view follow, so that
 // every new record reaches both.
-func (r *ranking) of(hash uint64) *replicas {
+func (r *replicaChooser) choose(hash uint64) *replicas {
 	out := &replicas{}
 	r.scratch[0] = rank(r.base, hash, r.copies, r.scratch[0])
 	for _, m := range r.scratch[0] {
@@ -125,7 +126,7 @@
 			out.add(m.id)
 		}
 	}
-	out.base = out.length
+	out.baseLength = out.length
 	if out.length > 0 {
 		out.head = out.chain[0]
 	}
@@ -138,7 +139,7 @@
 			out.add(m.id)
 		}
 	}
-	if len(r.scratch[1]) > 0 && (r.phase == catkinrail.Open || out.base == 0) {
+	if len(r.scratch[1]) > 0 && (r.phase == catkinrail.Open || out.baseLength == 0) {
 		out.head = r.scratch[1][0].id
 	}
 	return out
--- a/coordination/route/report.go
+++ b/coordination/route/report.go
@@ -9,8 +9,8 @@
 	"catkinrail.example/catkinrail/state/flow"
 )
 
-// Busy reports, for each open move, whether this instance still sees flows that
-// keep it from settling.
+// Busy returns, by move, what keeps open moves from settling as far as this instance
+// knows. Moves that nothing keeps open are left out.
 func (e *Engine) Busy(now int64) map[uint64]plan.Busy {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/coordination/route/table.go
+++ b/coordination/route/table.go
@@ -8,8 +8,8 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-// table is a version of the agreed state in the form that packets are looked up
-// in. It never changes once it is published.
+// table is a version of the agreed state, compiled for looking up packets. It is
+// immutable once it is published, except for the counters in moves.
 type table struct {
 	version  uint64
 	view     catkinrail.View
@@ -43,13 +43,14 @@
 	addr  netip.AddrPort
 	zone  catkinrail.Zone
 	state catkinrail.BackendState
-	// leave is the time, in nanoseconds of the clock, from which the slot gets
-	// no new flow because its backend server leaves; zero means never.
-	leave int64
+	// admitUntil is the time, in nanoseconds of the clock, from which the slot gets no
+	// new flows. It is zero while the backend server is active.
+	admitUntil int64
 }
 
-// admits reports whether the slot may get a new flow. A slot that leaves may
-// for a short while, so that the bucket's other replicas can prepare.
+// admits reports whether the slot may get a new flow. The slot of a backend server
+// that drains still gets new flows until admitUntil, so that the bucket's other
+// replicas can prepare.
 func (s *slot) admits(now int64) bool {
 	if s == nil {
 		return false
@@ -60,7 +61,7 @@
 	case catkinrail.BackendGone:
 		return false
 	}
-	return now < s.leave
+	return now < s.admitUntil
 }
 
 type peer struct {
@@ -68,10 +69,11 @@
 	zone catkinrail.Zone
 }
 
-// move counts what is seen of one move's flows.
+// move holds what this instance observed of a move's flows.
 type move struct {
 	id uint64
-	// unrecorded is the time of the last packet without a record.
+	// unrecorded is the time, in nanoseconds of the clock, of the last packet without a
+	// record in the move's buckets, or zero.
 	unrecorded atomic.Int64
 }
 
@@ -83,10 +85,10 @@
 	tracked bool
 	buckets []bucket
 	// active lists the slots that take new flows, with their weights.
-	active []weighted
+	active []weightedSlot
 }
 
-type weighted struct {
+type weightedSlot struct {
 	slot   catkinrail.SlotID
 	weight int64
 	zone   catkinrail.Zone
@@ -96,18 +98,18 @@
 	catkinrail.Bucket
 	// lookup is nil if every flow of the bucket is on Cur.
 	lookup *lookup
-	// slot is what Cur names, or nil.
+	// slot is the slot that Cur identifies, or nil.
 	slot *slot
 }
 
-// lookup is what a bucket needs while flows may be elsewhere than on Cur.
+// lookup describes where to look up the flows of a bucket that may not all be on Cur.
 type lookup struct {
 	replicas
 	move *move
 }
 
-// compile builds the table for a state. It reuses the parts of the earlier
-// table that the change left alone.
+// compile builds the table for a state. It reuses parts of the old table that the
+// change didn't affect.
 func (e *Engine) compile(s *cluster.State, old *table, now int64) *table {
 	t := &table{
 		version:  s.Version,
@@ -123,7 +125,7 @@
 			id := catkinrail.MakeSlotID(b.ID, i)
 			c := &slot{id: id, addr: addr, zone: b.Zone, state: b.State}
 			if b.State != catkinrail.BackendActive {
-				c.leave = leaveTime(old, id, now)
+				c.admitUntil = admitDeadline(old, id, now)
 			}
 			t.slots[id] = c
 		}
@@ -133,7 +135,7 @@
 	}
 	moveOf := map[catkinrail.ServiceID]map[uint16]*move{}
 	for id, m := range s.Moves {
-		t.moves[id] = keepMove(old, id)
+		t.moves[id] = reuseMove(old, id)
 		if moveOf[m.Service] == nil {
 			moveOf[m.Service] = map[uint16]*move{}
 		}
@@ -141,40 +143,40 @@
 			moveOf[m.Service][n] = t.moves[id]
 		}
 	}
-	r := newRanking(&s.View, e.cfg.Copies)
+	r := newReplicaChooser(&s.View, e.cfg.Copies)
 	active := activeSlots(s)
 	for id, svc := range s.Services {
 		c := compileService(svc, active[id])
-		c.compileBuckets(t, svc, moveOf[id], r, sameView(old, t, id))
+		c.compileBuckets(t, svc, moveOf[id], r, reusableService(old, t, id))
 		t.services[endpointOf(svc.Config.Endpoint())] = c
 		t.byID[id] = c
 	}
 	return t
 }
 
-func keepMove(old *table, id uint64) *move {
+func reuseMove(old *table, id uint64) *move {
 	if old != nil && old.moves[id] != nil {
 		return old.moves[id]
 	}
 	return &move{id: id}
 }
 
-func activeSlots(s *cluster.State) map[catkinrail.ServiceID][]weighted {
-	active := map[catkinrail.ServiceID][]weighted{}
+func activeSlots(s *cluster.State) map[catkinrail.ServiceID][]weightedSlot {
+	active := map[catkinrail.ServiceID][]weightedSlot{}
 	for _, id := range cluster.SortedKeys(s.Backends) {
 		b := s.Backends[id]
 		if b.State != catkinrail.BackendActive || b.Weight == 0 {
 			continue
 		}
 		for i := range b.Slots {
-			w := weighted{slot: catkinrail.MakeSlotID(id, i), weight: int64(b.Weight), zone: b.Zone}
+			w := weightedSlot{slot: catkinrail.MakeSlotID(id, i), weight: int64(b.Weight), zone: b.Zone}
 			active[b.Service] = append(active[b.Service], w)
 		}
 	}
 	return active
 }
 
-func compileService(svc *catkinrail.Service, active []weighted) *service {
+func compileService(svc *catkinrail.Service, active []weightedSlot) *service {
 	return &service{
 		id:      svc.ID,
 		cfg:     svc.Config,
@@ -185,18 +187,18 @@
 	}
 }
 
-// sameView returns the service's earlier table if its replicas were chosen under
-// the same view, or nil.
-func sameView(old, t *table, id catkinrail.ServiceID) *service {
+// reusableService returns the service's old compiled form, or nil if its replicas were
+// chosen under another view.
+func reusableService(old, t *table, id catkinrail.ServiceID) *service {
 	if old == nil || old.view.Version != t.view.Version {
 		return nil
 	}
 	return old.byID[id]
 }
 
-// compileBuckets fills the buckets. Choosing replicas takes time for each member
-// of the view, so those that were chosen under the same view are taken over.
-func (c *service) compileBuckets(t *table, svc *catkinrail.Service, moveOf map[uint16]*move, r *ranking, old *service) {
+// compileBuckets fills the buckets. Choosing replicas takes time proportional to the
+// size of the view, so replicas chosen under the same view are reused.
+func (c *service) compileBuckets(t *table, svc *catkinrail.Service, moveOf map[uint16]*move, r *replicaChooser, old *service) {
 	c.buckets = make([]bucket, len(svc.Buckets))
 	for n, b := range svc.Buckets {
 		c.buckets[n].Bucket = b
@@ -208,21 +210,22 @@
 		if old != nil && old.buckets[n].lookup != nil {
 			l.replicas = old.buckets[n].lookup.replicas
 		} else {
-			l.replicas = *r.of(bucketHash(svc.ID, n))
+			l.replicas = *r.choose(bucketHash(svc.ID, n))
 		}
 		c.buckets[n].lookup = l
 	}
 }
 
-// leaveTime returns the time from which a slot that leaves gets no new flow. It
-// keeps the time that an earlier version of the table set.
-func leaveTime(old *table, id catkinrail.SlotID, now int64) int64 {
+// admitDeadline returns the time from which a slot whose backend server isn't active
+// gets no new flows. It keeps a time that the old table set. The first configuration
+// has no grace period, because the drain may have begun long ago.
+func admitDeadline(old *table, id catkinrail.SlotID, now int64) int64 {
 	if old == nil || old.version == 0 {
 		return now
 	}
 	before, ok := old.slots[id]
-	if ok && before.leave != 0 {
-		return before.leave
+	if ok && before.admitUntil != 0 {
+		return before.admitUntil
 	}
-	return now + int64(leaveBound)
+	return now + int64(drainGracePeriod)
 }
--- a/coordination/route/zone.go
+++ b/coordination/route/zone.go
@@ -11,44 +11,45 @@
 	"catkinrail.example/catkinrail/state/flow"
 )
 
-// Timing of the probes within a zone.
+// Timing of probes and of partitioned zones.
 const (
 	probeInterval = 200 * time.Millisecond
-	// answerAge is the age up to which an answer to a probe counts.
-	answerAge = 700 * time.Millisecond
-	// cutDelay is how long a zone stays without leases before it places new
-	// flows of buckets whose slot it can't reach. It outlasts the election of a
-	// control leader, so that an election leaves no flows to merge.
-	cutDelay = 4 * time.Second
+	// maxAnswerAge is the age up to which a reply to a probe counts. An instance
+	// probes for as long before it first evaluates the replies.
+	maxAnswerAge = 700 * time.Millisecond
+	// partitionGracePeriod is how long after the end of its lease an instance waits
+	// before it places new flows on another slot than usual, or without all of the
+	// bucket's replicas. It outlasts the election of a control leader, so that an
+	// election leaves no flows to merge.
+	partitionGracePeriod = 4 * time.Second
 )
 
 // zoneState is what an instance without a lease knows of its zone.
 type zoneState struct {
-	// cut is the set of peers to share records with while the zone is cut off;
-	// nil if this instance must not decide.
-	cut atomic.Pointer[cutView]
-	// handoff is a peer that may decide while this instance may not.
+	// partition is set while the zone is partitioned and this instance may decide.
+	partition atomic.Pointer[partitionView]
+	// handoff is a peer that may decide while this instance may not, or zero.
 	handoff atomic.Uint32
 	// anyException is set while exceptions isn't empty.
 	anyException atomic.Bool
 
-	// The rest is guarded by the engine's mutex.
-	answers map[catkinrail.InstanceID]probeAnswer
-	probed  int64
-	// since is the time at which the probes began.
-	since int64
-	// exceptions are the buckets in which flows were placed while the zone was
-	// cut off, until the records are merged.
+	// The fields below are guarded by the engine's mutex.
+	answers  map[catkinrail.InstanceID]probeAnswer
+	probedAt int64
+	// probingSince is the time at which probing began, or zero.
+	probingSince int64
+	// exceptions are the buckets that got new flows or records while the zone was
+	// partitioned. They remain until all replicas have confirmed the records.
 	exceptions map[flow.Bucket]bool
 	merging    map[flow.Bucket]int
 }
 
-// cutView is what an instance without a lease goes on with.
-type cutView struct {
-	// members are the instances that are heard and have no lease.
+// partitionView is the part of the cluster that a partitioned instance works with.
+type partitionView struct {
+	// members are the instances in contact that have no lease, this one included.
 	members []member
-	// held are the zones whose backend servers may be sent to.
-	held map[catkinrail.Zone]bool
+	// usable contains the zones whose backend servers may receive packets.
+	usable map[catkinrail.Zone]bool
 }
 
 type probeAnswer struct {
@@ -63,8 +64,8 @@
 	z.merging = map[flow.Bucket]int{}
 }
 
-func (z *zoneState) isCut() bool {
-	return z.cut.Load() != nil
+func (z *zoneState) isPartitioned() bool {
+	return z.partition.Load() != nil
 }
 
 func (e *Engine) answerProbe(m *relay.Message, now int64) []Send {
@@ -86,25 +87,26 @@
 	e.zone.answers[m.Sender] = probeAnswer{leased: m.Flags&relay.FlagLeased != 0, version: m.Version, at: now}
 }
 
-// tick probes the zone while the instance has no lease and draws the conclusion.
+// tick probes the other instances while this one has no lease, and evaluates their
+// replies.
 func (z *zoneState) tick(e *Engine, t *table, now int64, out []Send) []Send {
 	if e.Leased(now) {
-		z.cut.Store(nil)
+		z.partition.Store(nil)
 		z.handoff.Store(0)
 		clear(z.answers)
-		z.since = 0
+		z.probingSince = 0
 		return out
 	}
-	if z.since == 0 {
-		z.since = now
+	if z.probingSince == 0 {
+		z.probingSince = now
 	}
-	if now-z.since >= int64(answerAge) {
-		z.conclude(e, t, now)
+	if now-z.probingSince >= int64(maxAnswerAge) {
+		z.evaluate(e, t, now)
 	}
-	if now-z.probed < int64(probeInterval) {
+	if now-z.probedAt < int64(probeInterval) {
 		return out
 	}
-	z.probed = now
+	z.probedAt = now
 	self := e.Self()
 	for _, id := range cluster.SortedKeys(t.peers) {
 		if p := t.peers[id]; id != self {
@@ -115,33 +117,36 @@
 	return out
 }
 
-// census counts the instances of one zone.
-type census struct {
-	registered, silent int
+// zoneCount counts the registered instances of a zone, and those known to be without
+// a lease.
+type zoneCount struct {
+	registered, unleased int
 }
 
-// conclude decides how to go on without a lease. A peer that holds one gets this
-// instance's packets. Otherwise a zone more than half of whose instances are
-// known to be without a lease is held: control can't move flows away from its
-// backend servers. This instance goes on if its own zone is held, towards the
-// backend servers of held zones, with the highest version among those it hears.
-func (z *zoneState) conclude(e *Engine, t *table, now int64) {
-	zones := map[catkinrail.Zone]*census{}
+// evaluate decides how to go on without a lease.
+//
+// A peer that holds a lease gets this instance's packets. Otherwise, a zone is usable
+// if more than half of its instances are known to have no lease: control then can't
+// move flows away from the zone's backend servers. An instance in a usable zone
+// decides itself, for the backend servers of usable zones, if no instance in contact
+// has a higher version. If one has, it gets this instance's packets.
+func (z *zoneState) evaluate(e *Engine, t *table, now int64) {
+	zones := map[catkinrail.Zone]*zoneCount{}
 	best, bestVersion, leased := catkinrail.InstanceID(0), t.version, catkinrail.InstanceID(0)
 	self := e.Self()
-	view := &cutView{held: map[catkinrail.Zone]bool{}}
+	view := &partitionView{usable: map[catkinrail.Zone]bool{}}
 	for _, id := range cluster.SortedKeys(t.peers) {
 		zone := t.peers[id].zone
 		if zones[zone] == nil {
-			zones[zone] = &census{}
+			zones[zone] = &zoneCount{}
 		}
 		zones[zone].registered++
 		a, ok := z.answers[id]
 		switch {
-		case id != self && (!ok || now-a.at > int64(answerAge)):
+		case id != self && (!ok || now-a.at > int64(maxAnswerAge)):
 			continue
 		case id != self && a.leased:
-			// Peers of the own zone are nearer.
+			// Prefer peers in the same zone, which are nearer.
 			if leased == 0 || zone == e.cfg.Zone {
 				leased = id
 			}
@@ -149,33 +154,33 @@
 		case id != self && a.version > bestVersion:
 			best, bestVersion = id, a.version
 		}
-		zones[zone].silent++
+		zones[zone].unleased++
 		view.members = append(view.members, newMember(id, zone))
 	}
 	for zone, c := range zones {
-		view.held[zone] = 2*c.silent > c.registered
+		view.usable[zone] = 2*c.unleased > c.registered
 	}
 	switch {
 	case leased != 0:
 		z.set(nil, leased)
-	case view.held[e.cfg.Zone] && best == 0:
+	case view.usable[e.cfg.Zone] && best == 0:
 		z.set(view, 0)
-	case view.held[e.cfg.Zone]:
+	case view.usable[e.cfg.Zone]:
 		z.set(nil, best)
 	default:
 		z.set(nil, 0)
 	}
 }
 
-func (z *zoneState) set(view *cutView, handoff catkinrail.InstanceID) {
-	z.cut.Store(view)
+func (z *zoneState) set(view *partitionView, handoff catkinrail.InstanceID) {
+	z.partition.Store(view)
 	z.handoff.Store(uint32(handoff))
 }
 
 // decideUnleased decides without a lease.
 func (e *Engine) decideUnleased(r *request) Verdict {
-	if view := e.zone.cut.Load(); view != nil {
-		return e.decideCut(r, view)
+	if view := e.zone.partition.Load(); view != nil {
+		return e.decidePartitioned(r, view)
 	}
 	if to := catkinrail.InstanceID(e.zone.handoff.Load()); to != 0 && r.hops == 0 {
 		return e.relayTo(r, to)
@@ -183,49 +188,49 @@
 	return r.drop(ReasonNoLease)
 }
 
-// decideCut decides in a zone that is cut off. Flows of backend servers outside
-// the held zones are neither answered nor moved: their packets are dropped.
-func (e *Engine) decideCut(r *request, view *cutView) Verdict {
-	if r.b.lookup == nil && view.reaches(r, r.b.Cur) {
-		return e.settled(r)
+// decidePartitioned decides in a partitioned zone. Packets of flows on backend servers
+// outside the usable zones are dropped; their flows are neither refused nor moved.
+func (e *Engine) decidePartitioned(r *request, view *partitionView) Verdict {
+	if r.b.lookup == nil && view.canReach(r, r.b.Cur) {
+		return e.decideSettled(r)
 	}
-	holders := e.cutHolders(r, view)
+	holders := e.partitionHolders(r, view)
 	if len(holders) > 0 && holders[0] != e.Self() {
 		return e.relayTo(r, holders[0])
 	}
-	seen := flow.PacketInfo{Now: r.now, Opening: r.opening, Closing: closing(r.h)}
-	if rec, established, ok := e.flows.Touch(r.bucketID(), &r.h.Key, seen); ok {
-		if !view.reaches(r, rec.Slot) {
+	packet := flow.PacketInfo{Now: r.now, Opening: r.opening, Closing: closing(r.h)}
+	if rec, established, ok := e.flows.Touch(r.bucketID(), &r.h.Key, packet); ok {
+		if !view.canReach(r, rec.Slot) {
 			return r.drop(ReasonUnreachable)
 		}
-		if r.tooLate(&rec) {
+		if r.slotClosed(&rec) {
 			return r.drop(ReasonLeaving)
 		}
 		if r.opening || established {
-			return e.passAlong(r, holders, &rec)
+			return e.replicate(r, holders, &rec)
 		}
 		return r.forward(rec.Slot)
 	}
 	if r.opening || r.h.Key.Proto == catkinrail.ProtoUDP {
 		r.opening = true
-		return e.admitCut(r, view, holders)
+		return e.admitPartitioned(r, view, holders)
 	}
 	l := r.b.lookup
-	if l != nil && l.holds(e.Self()) && view.reaches(r, r.b.Cur) && !r.svc.tracked {
+	if l != nil && l.holds(e.Self()) && view.canReach(r, r.b.Cur) && !r.svc.tracked {
 		return r.forward(r.b.Cur)
 	}
 	return r.drop(ReasonUnreachable)
 }
 
-// reaches reports whether packets may go to the slot.
-func (v *cutView) reaches(r *request, id catkinrail.SlotID) bool {
+// canReach reports whether packets may be sent to the slot.
+func (v *partitionView) canReach(r *request, id catkinrail.SlotID) bool {
 	s := r.t.slots[id]
-	return s != nil && v.held[s.zone] && s.state != catkinrail.BackendGone
+	return s != nil && v.usable[s.zone] && s.state != catkinrail.BackendGone
 }
 
-// cutHolders returns the members that hold the bucket's records: its replicas
-// first, since they know the flows from before the cut.
-func (e *Engine) cutHolders(r *request, view *cutView) []catkinrail.InstanceID {
+// partitionHolders returns the members that hold the bucket's records. Its replicas
+// come first, since they have the records from before the partition.
+func (e *Engine) partitionHolders(r *request, view *partitionView) []catkinrail.InstanceID {
 	var out []catkinrail.InstanceID
 	if l := r.b.lookup; l != nil {
 		for _, id := range l.members() {
@@ -243,14 +248,14 @@
 	return out
 }
 
-// admitCut places a new flow where the bucket says, if that can be reached, and
-// otherwise on any backend server that can.
-func (e *Engine) admitCut(r *request, view *cutView, holders []catkinrail.InstanceID) Verdict {
-	id, usual := e.placeCut(r, view)
+// admitPartitioned places a new flow on the slot that the bucket gives, if that is
+// reachable, and otherwise on any reachable backend server.
+func (e *Engine) admitPartitioned(r *request, view *partitionView, holders []catkinrail.InstanceID) Verdict {
+	id, regular := e.placePartitioned(r, view)
 	if id == catkinrail.NoSlot {
 		return r.drop(ReasonNoBackend)
 	}
-	if !usual && time.Duration(r.now-e.lease.Load()) < cutDelay {
+	if !regular && time.Duration(r.now-e.lease.Load()) < partitionGracePeriod {
 		return r.drop(ReasonNoLease)
 	}
 	rec := r.record(id)
@@ -258,43 +263,44 @@
 	if !ok {
 		return r.drop(ReasonLimit)
 	}
-	e.noteException(r.bucketID())
-	return e.passAlong(r, holders, &held)
+	e.addException(r.bucketID())
+	return e.replicate(r, holders, &held)
 }
 
-// hears reports whether all of the instances are heard.
-func (v *cutView) hears(list []catkinrail.InstanceID) bool {
+// containsAll reports whether all of the instances are members.
+func (v *partitionView) containsAll(list []catkinrail.InstanceID) bool {
 	return !slices.ContainsFunc(list, func(id catkinrail.InstanceID) bool { return !contains(v.members, id) })
 }
 
-// placeCut chooses the slot of a new flow. Usual is set if it's the one that the
-// configuration names and all of the bucket's replicas get its record.
-func (e *Engine) placeCut(r *request, view *cutView) (id catkinrail.SlotID, usual bool) {
-	complete := r.b.lookup != nil && view.hears(r.b.lookup.members())
+// placePartitioned chooses the slot of a new flow. The second result reports whether
+// the slot is one that the configuration allows and all of the bucket's replicas get
+// the record.
+func (e *Engine) placePartitioned(r *request, view *partitionView) (id catkinrail.SlotID, regular bool) {
+	complete := r.b.lookup != nil && view.containsAll(r.b.lookup.members())
 	if r.b.lookup != nil && !r.svc.tracked {
-		if id, _ := e.place(r); view.reaches(r, id) {
+		if id, _ := e.place(r); view.canReach(r, id) {
 			return id, complete
 		}
 	}
-	var reachable []weighted
+	var reachable []weightedSlot
 	for _, w := range r.svc.active {
-		if view.held[w.zone] {
+		if view.usable[w.zone] {
 			reachable = append(reachable, w)
 		}
 	}
 	return e.leastLoaded(reachable), complete && r.svc.tracked
 }
 
-func (e *Engine) noteException(b flow.Bucket) {
+func (e *Engine) addException(b flow.Bucket) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.zone.exceptions[b] = true
 	e.zone.anyException.Store(true)
 }
 
-// exception looks up a flow of a settled bucket that may have been placed
-// elsewhere while the zone was cut off.
-func (e *Engine) exception(r *request) (Verdict, bool) {
+// decideException decides about a flow of a settled bucket that was placed on another
+// slot while the zone was partitioned. It returns false if there is no such record.
+func (e *Engine) decideException(r *request) (Verdict, bool) {
 	if !e.zone.anyException.Load() {
 		return Verdict{}, false
 	}
@@ -305,8 +311,9 @@
 	return r.forward(rec.Slot), true
 }
 
-// Exceptions returns the settled buckets that hold records from a cut, by
-// service. Other instances must look their flows up before those are merged.
+// Exceptions returns the settled buckets that hold records from a partition, by
+// service. Other instances must look up the buckets' flows before the records can be
+// merged.
 func (e *Engine) Exceptions() map[catkinrail.ServiceID][]uint32 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -324,13 +331,13 @@
 	return out
 }
 
-// mergeExceptions hands records from a cut to the buckets' replicas and forgets
+// mergeExceptions copies records from a partition to the buckets' replicas. It removes
 // the exception once all of them have confirmed.
 func (e *Engine) mergeExceptions(t *table) {
 	for b := range e.zone.exceptions {
 		svc := t.byID[b.Service]
 		if svc == nil {
-			e.dropException(b)
+			e.removeException(b)
 			continue
 		}
 		l := svc.buckets[b.Number].lookup
@@ -346,7 +353,7 @@
 	done := func() {
 		e.zone.merging[b]--
 		if e.zone.merging[b] == 0 {
-			e.dropException(b)
+			e.removeException(b)
 		}
 	}
 	for _, id := range l.members() {
@@ -355,17 +362,17 @@
 		}
 	}
 	if e.zone.merging[b] == 0 {
-		e.dropException(b)
+		e.removeException(b)
 	}
 }
 
-func (e *Engine) dropException(b flow.Bucket) {
+func (e *Engine) removeException(b flow.Bucket) {
 	delete(e.zone.exceptions, b)
 	delete(e.zone.merging, b)
 	e.zone.anyException.Store(len(e.zone.exceptions) > 0)
 }
 
-// Cut reports whether the zone is cut off and this instance goes on serving it.
+// Cut reports whether the zone is partitioned and this instance may serve it.
 func (e *Engine) Cut() bool {
-	return e.zone.isCut()
+	return e.zone.isPartitioned()
 }
