--- a/coordination/route/zone.go
+++ b/coordination/route/zone.go
@@ -68,7 +68,7 @@
 	return z.partition.Load() != nil
 }
 
-func (e *Engine) answerProbe(m *relay.Message, now int64) []Send {
+func (e *Engine) answerProbe(m *relay.Message, now int64) []Outgoing {
 	t := e.table.Load()
 	p, ok := t.peers[m.Sender]
 	if !ok {
@@ -78,7 +78,7 @@
 	if e.Leased(now) {
 		answer.Flags = relay.FlagLeased
 	}
-	return []Send{{To: m.Sender, Addr: p.addr, Message: answer}}
+	return []Outgoing{{To: m.Sender, Addr: p.addr, Message: answer}}
 }
 
 func (e *Engine) receiveProbeAnswer(m *relay.Message, now int64) {
@@ -89,7 +89,7 @@
 
 // tick probes the other instances while this one has no lease, and evaluates their
 // replies.
-func (z *zoneState) tick(e *Engine, t *table, now int64, out []Send) []Send {
+func (z *zoneState) tick(e *Engine, t *table, now int64, out []Outgoing) []Outgoing {
 	if e.Leased(now) {
 		z.partition.Store(nil)
 		z.handoff.Store(0)
@@ -111,7 +111,7 @@
 	for _, id := range cluster.SortedKeys(t.peers) {
 		if p := t.peers[id]; id != self {
 			m := relay.Message{Kind: relay.Probe, Sender: self, Version: t.version}
-			out = append(out, Send{To: id, Addr: p.addr, Message: m})
+			out = append(out, Outgoing{To: id, Addr: p.addr, Message: m})
 		}
 	}
 	return out
@@ -372,7 +372,7 @@
 	e.zone.anyException.Store(len(e.zone.exceptions) > 0)
 }
 
-// Cut reports whether the zone is partitioned and this instance may serve it.
-func (e *Engine) Cut() bool {
+// Partitioned reports whether the zone is partitioned and this instance may serve it.
+func (e *Engine) Partitioned() bool {
 	return e.zone.isPartitioned()
 }
