--- a/coordination/route/report.go
+++ b/coordination/route/report.go
@@ -9,8 +9,8 @@
 	"catkinrail.example/catkinrail/state/flow"
 )
 
-// Busy reports, for each open move, whether this instance still sees flows that
-// keep it from settling.
+// Busy returns, by move, what keeps open moves from settling as far as this instance
+// knows. Moves that nothing keeps open are left out.
 func (e *Engine) Busy(now int64) map[uint64]plan.Busy {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -37,7 +37,7 @@
 	buckets := t.byID[m.Service].buckets
 	for _, n := range m.Buckets {
 		id := flow.Bucket{Service: m.Service, Number: uint32(n)}
-		if e.flows.Elsewhere(id, buckets[n].Next) {
+		if e.flows.HasOtherSlot(id, buckets[n].Next) {
 			b.Elsewhere = true
 			break
 		}
