--- a/control/core/leader.go
+++ b/control/core/leader.go
@@ -202,7 +202,7 @@
 		return reply, nil
 	}
 	c.leader.recordHeartbeat(c, hb, now)
-	reply.Changes, reply.State = c.changesSince(hb.Have)
+	reply.Changes, reply.State = c.changesSince(hb.StateVersion)
 	return reply, nil
 }
 
@@ -215,8 +215,8 @@
 		l.instances[hb.ID] = e
 	}
 	e.leaseEnd = max(e.leaseEnd, now+l.maxLease(c))
-	e.member = plan.Member{Version: hb.Have, Synced: hb.Synced, Busy: hb.Busy}
-	if hb.Have >= c.state.Version {
+	e.member = plan.Member{Version: hb.StateVersion, Synced: hb.Synced, Busy: hb.Busy}
+	if hb.StateVersion >= c.state.Version {
 		e.currentAt = now
 	}
 	if hb.Leaving && !e.leaving {
--- a/control/voter/voter.go
+++ b/control/voter/voter.go
@@ -151,10 +151,10 @@
 }
 
 // Hello requests the identity of the control instance at addr.
-func Hello(ctx context.Context, addr string, creds *rpc.Credentials) (*message.Greeting, error) {
+func Hello(ctx context.Context, addr string, creds *rpc.Credentials) (*message.HelloReply, error) {
 	c := rpc.NewClient(addr, creds)
 	defer c.Close()
-	g := &message.Greeting{}
+	g := &message.HelloReply{}
 	err := c.Call(ctx, "hello", callTimeout, func(ctx context.Context, conn drpc.Conn) error {
 		f, err := control.NewDRPCControlClient(conn).Hello(ctx, &control.Frame{})
 		if err != nil {
@@ -187,7 +187,7 @@
 		return false, err
 	}
 	t.setContacts(&reply)
-	return !reply.Wait, nil
+	return !reply.RetryLater, nil
 }
 
 // setContacts records the addresses of members that this instance's own log may
