--- a/clock.go
+++ b/clock.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Clock tells the current time. Decisions never read the wall clock directly,
-// so that tests and emulations can drive them with a clock of their own.
+// Clock gives the current time. Code that takes decisions never reads the wall
+// clock directly, so that tests and emulations can run it on a simulated clock.
 type Clock interface {
 	Now() time.Time
 }
--- a/document.go
+++ b/document.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// RequestKind says whether the requests of a route may be repeated.
+// RequestKind says whether the requests of a route may be retried.
 type RequestKind string
 
 // Kinds of requests.
 const (
 	// KindSafe requests are idempotent and short.
 	KindSafe RequestKind = "safe"
-	// KindUnsafe requests may run once at most.
+	// KindUnsafe requests may run at most once, so they must not be retried.
 	KindUnsafe RequestKind = "unsafe"
-	// KindDownload requests are idempotent and have long answers.
+	// KindDownload requests are idempotent and have long responses.
 	KindDownload RequestKind = "download"
 )
 
@@ -33,9 +33,9 @@
 	Name   string         `cbor:"1,keyasint"`
 	Listen netip.AddrPort `cbor:"2,keyasint"`
 	Kind   RequestKind    `cbor:"3,keyasint,omitempty"`
-	// Timeout is how long a caller waits for an answer.
+	// Timeout is how long a caller waits for a response.
 	Timeout time.Duration `cbor:"4,keyasint,omitempty"`
-	// LatencyTarget is the time within which an answer has its full worth.
+	// LatencyTarget is the latency up to which a response has its full value.
 	LatencyTarget time.Duration `cbor:"5,keyasint,omitempty"`
 	Targets       []Target      `cbor:"6,keyasint"`
 }
@@ -46,17 +46,16 @@
 	Routes  []Route `cbor:"2,keyasint"`
 	// Services are the names that routes may use.
 	Services []string `cbor:"3,keyasint"`
-	// IdleTimeout is the time without a packet after which a flow may be
-	// forgotten.
+	// IdleTimeout is the time without a packet after which a flow may expire.
 	IdleTimeout time.Duration `cbor:"4,keyasint,omitempty"`
-	// Source is the document as the operator sent it, for reading it back.
+	// Source is the document as the operator sent it; reads return it unchanged.
 	Source []byte `cbor:"5,keyasint,omitempty"`
 }
 
-// maxWeightSum bounds the sum of a route's weights.
+// maxWeightSum is the largest sum of a route's weights.
 const maxWeightSum = 1 << 30
 
-// Validate returns a FieldError for the first wrong field, or nil.
+// Validate returns a FieldError for the first invalid field, or nil.
 func (d *Document) Validate() error {
 	if d.Version == 0 {
 		return &FieldError{Field: "version", Reason: "must be greater than 0"}
@@ -123,27 +122,27 @@
 	for _, t := range r.Targets {
 		sum += t.Weight
 	}
-	at := int(hash % uint64(sum))
+	point := int(hash % uint64(sum))
 	for _, t := range r.Targets {
-		if at < t.Weight {
+		if point < t.Weight {
 			return t.Service
 		}
-		at -= t.Weight
+		point -= t.Weight
 	}
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// ErrUnavailable means that this instance can't answer for now and that another
-// one may.
+// ErrUnavailable means that this instance can't answer at present; another instance
+// may be able to.
 var ErrUnavailable = errors.New("not available at this instance for now")
 
 // DocumentStore keeps the operators' document.
 type DocumentStore interface {
-	// PutDocument returns once the document, or a later one, is committed. A
+	// PutDocument returns once the document, or a newer one, is committed. A
 	// document that is not newer than the one in force changes nothing.
 	PutDocument(ctx context.Context, d *Document) error
-	// CurrentDocument returns the newest document, proved current after the
-	// call began. It returns nil if there is none yet, and ErrUnavailable if
-	// there is no proof.
+	// CurrentDocument returns the newest committed document: the read is
+	// linearizable. It returns nil if there is none yet, and ErrUnavailable if it
+	// can't confirm that the document is current.
 	CurrentDocument(ctx context.Context) (*Document, error)
 }
--- a/errors.go
+++ b/errors.go
@@ -13,8 +13,8 @@
 	peerKey errorKey = "peer"
 )
 
-// At adds to err the step in which it arose and the peer that was spoken to.
-// The peer may be empty. A nil error stays nil.
+// At wraps err with the step that failed and the peer involved, and puts both in
+// front of its message. The peer may be empty. A nil error stays nil.
 func At(err error, step, peer string) error {
 	if err == nil {
 		return nil
--- a/flow.go
+++ b/flow.go
@@ -13,7 +13,7 @@
 	ProtoICMPv6 uint8 = 58
 )
 
-// FlowKey identifies a flow by its 5-tuple. IPv4 addresses are held in their
+// FlowKey identifies a flow by its 5-tuple. IPv4 addresses are stored in their
 // IPv4-mapped IPv6 form. Src is the caller, Dst the service.
 type FlowKey struct {
 	Src, Dst         [16]byte
@@ -21,7 +21,7 @@
 	Proto            uint8
 }
 
-// Endpoint identifies what a service listens on.
+// Endpoint is the address, port and protocol that a service listens on.
 type Endpoint struct {
 	Addr  [16]byte
 	Port  uint16
@@ -35,17 +35,17 @@
 	return fmt.Sprintf("%s>%s/%d", src, dst, k.Proto)
 }
 
-// Record pins a flow to a slot although its bucket's default says otherwise.
+// Record pins a flow to a slot, overriding the slot of its bucket.
 type Record struct {
 	Key  FlowKey
 	Slot SlotID
 	// Epoch is the configuration version under which the slot was chosen. Of
-	// two records for one flow the lower epoch wins, because a packet may
-	// already have been passed on by it.
+	// two records for one flow the lower epoch wins, because packets may already
+	// have been forwarded by it.
 	Epoch uint64
-	// Established is set once the caller has answered the handshake.
+	// Established is set once the caller has completed the handshake.
 	Established bool
-	// Closing is set once either direction was seen to end.
+	// Closing is set once the end of either direction has been seen.
 	Closing bool
 	// Seen is the time of the last packet, in nanoseconds of the clock.
 	Seen int64
--- a/identity.go
+++ b/identity.go
@@ -10,25 +10,26 @@
 type BackendID uint32
 
 // InstanceID identifies one incarnation of an entry instance. An instance that
-// restarts has lost its flow records and therefore gets a new identifier.
+// restarts loses its flow records and therefore gets a new identifier.
 type InstanceID uint32
 
 // Zone names an availability zone.
 type Zone string
 
-// SlotID identifies one slot of a backend server. Zero names no slot.
+// SlotID identifies one slot of a backend server. Zero is NoSlot.
 type SlotID uint32
 
-// NoSlot is the zero slot, which names no backend server.
+// NoSlot is the zero SlotID, which refers to no backend server.
 const NoSlot SlotID = 0
 
 // MaxSlots is the largest number of slots that a backend server may announce.
 const MaxSlots = 16
 
-// slotBits is the width of the slot number within a SlotID.
+// slotBits is the number of bits of a SlotID that hold the slot number.
 const slotBits = 4
 
-// MakeSlotID joins a backend server and a slot number below MaxSlots.
+// MakeSlotID returns the SlotID of a backend server's slot n, which must be below
+// MaxSlots.
 func MakeSlotID(b BackendID, n int) SlotID {
 	return SlotID(uint32(b)<<slotBits | uint32(n)%MaxSlots)
 }
@@ -38,12 +39,12 @@
 	return BackendID(s >> slotBits)
 }
 
-// Index returns the number of the slot within its backend server.
+// Index returns the slot number within its backend server.
 func (s SlotID) Index() int {
 	return int(s % MaxSlots)
 }
 
-// String formats the slot as backend server and slot number.
+// String formats the slot as "backend.index", or "none" for NoSlot.
 func (s SlotID) String() string {
 	if s == NoSlot {
 		return "none"
--- a/routing.go
+++ b/routing.go
@@ -2,18 +2,18 @@
 
 import "net/netip"
 
-// Phase is the step that a bucket has reached in a move between slots.
+// Phase is the phase of a bucket's move between slots, or of a change of view.
 type Phase uint8
 
 // Phases of a bucket.
 const (
-	// Settled buckets have every flow on Cur.
+	// Settled means that no move is in progress: every flow belongs to Cur.
 	Settled Phase = iota
-	// Prepare means that packets go through the bucket's replicas while new
-	// flows still go to Cur.
+	// Prepare means that packets already pass through the bucket's replicas, but
+	// new flows still go to Cur.
 	Prepare
-	// Open means that new flows go to Next and get a record; a packet of a flow
-	// without a record belongs to Cur.
+	// Open means that new flows go to Next and get a record; flows without a
+	// record belong to Cur.
 	Open
 )
 
@@ -30,7 +30,7 @@
 	return "unknown"
 }
 
-// Bucket is one entry of a service's table.
+// Bucket is one entry of a service's bucket table.
 type Bucket struct {
 	Cur   SlotID `cbor:"1,keyasint"`
 	Next  SlotID `cbor:"2,keyasint,omitempty"`
@@ -46,19 +46,20 @@
 	return b.Next
 }
 
-// BackendState is what a backend server may be given.
+// BackendState says whether a backend server takes new flows.
 type BackendState uint8
 
 // States of a backend server.
 const (
 	// BackendActive servers take new flows.
 	BackendActive BackendState = iota
-	// BackendDraining servers keep their flows and take no new ones.
+	// BackendDraining servers keep their open flows but take no new ones.
 	BackendDraining
-	// BackendEjected servers failed their checks and take no new flows.
+	// BackendEjected servers failed their health checks or are silent, and take
+	// no new flows.
 	BackendEjected
-	// BackendGone servers have lost their flows: they stopped announcing
-	// themselves or came back as a new incarnation.
+	// BackendGone servers have ended and lost their flows: their announcements
+	// stopped, or a new incarnation replaced them.
 	BackendGone
 )
 
@@ -88,13 +89,13 @@
 	State       BackendState     `cbor:"7,keyasint,omitempty"`
 	// Weight scales the backend server's share of buckets, in percent.
 	Weight uint32 `cbor:"8,keyasint"`
-	// Full is the weight that a cold backend server is on its way to.
+	// Full is the weight that the backend server has once it has warmed up.
 	Full uint32 `cbor:"11,keyasint,omitempty"`
-	// Drained is set when an operator asked for the draining; only an operator
-	// ends it.
+	// Drained is set while an operator's drain is in force; only an operator can
+	// end it.
 	Drained bool `cbor:"9,keyasint,omitempty"`
-	// Silent is set when the backend server was ejected because it stopped
-	// announcing itself.
+	// Silent is set if the backend server was ejected because its announcements
+	// stopped.
 	Silent bool `cbor:"10,keyasint,omitempty"`
 }
 
@@ -106,31 +107,31 @@
 	Relay       netip.AddrPort `cbor:"4,keyasint"`
 	Incarnation uint64         `cbor:"5,keyasint"`
 	Leaving     bool           `cbor:"6,keyasint,omitempty"`
-	// Silent is set while the instance has no lease but may go on serving,
-	// because its availability zone may be cut off.
+	// Silent is set while the instance has no lease but may continue to serve,
+	// because its availability zone may be partitioned.
 	Silent bool `cbor:"7,keyasint,omitempty"`
-	// Since is the version at which the instance was registered.
+	// Since is the state version at which the instance was registered.
 	Since uint64 `cbor:"8,keyasint,omitempty"`
 }
 
 // View says which entry instances hold the records of moving buckets.
 //
-// A change of view has three steps. In Prepare the members of Base still
-// answer, and new records go to the members of both. In Open the members of
-// Target answer. Settled makes Target the new Base.
+// A view changes from Base to Target in three phases. In Prepare, members of Base
+// still answer lookups and new records go to the members of both. In Open, members
+// of Target answer. In Settled, Target has become the new Base.
 type View struct {
 	Version uint64       `cbor:"1,keyasint"`
 	Phase   Phase        `cbor:"2,keyasint,omitempty"`
 	Base    []InstanceID `cbor:"3,keyasint"`
 	Target  []InstanceID `cbor:"4,keyasint,omitempty"`
-	// Dead are members of Base that were lost before Target took over.
+	// Dead holds the members of Base that were lost before Target took over.
 	Dead []InstanceID `cbor:"5,keyasint,omitempty"`
-	// Zones gives the zone of every member, the dead ones included: the choice
-	// of replicas depends on it.
+	// Zones maps every member, including those in Dead, to its zone, on which the
+	// choice of replicas depends.
 	Zones map[InstanceID]Zone `cbor:"6,keyasint,omitempty"`
 }
 
-// Service is a service with its bucket table.
+// Service is a service's configuration and its bucket table.
 type Service struct {
 	ID      ServiceID     `cbor:"1,keyasint"`
 	Config  ServiceConfig `cbor:"2,keyasint"`
@@ -138,13 +139,13 @@
 	Buckets []Bucket      `cbor:"4,keyasint"`
 }
 
-// Move is a group of buckets that change owner together.
+// Move is a group of buckets of one service that change owner together.
 type Move struct {
-	// ID is made of the version at which the move began and the service.
+	// ID combines the state version at which the move began and the service.
 	ID      uint64    `cbor:"1,keyasint"`
 	Service ServiceID `cbor:"2,keyasint"`
 	Phase   Phase     `cbor:"3,keyasint"`
-	// Version is the one at which the phase was entered.
+	// Version is the state version at which the current phase began.
 	Version uint64   `cbor:"4,keyasint"`
 	Buckets []uint16 `cbor:"5,keyasint"`
 }
--- a/service.go
+++ b/service.go
@@ -12,11 +12,11 @@
 type Balance string
 
 const (
-	// BalanceHashed assigns flows by bucket and keeps records for exceptions
-	// only. It relays the fewest packets.
+	// BalanceHashed assigns flows by bucket and keeps records only for flows that
+	// their bucket doesn't place correctly. It relays the fewest packets.
 	BalanceHashed Balance = "hashed"
 	// BalanceTracked keeps a record of every flow and assigns each new flow to
-	// the least loaded slot. It relays most packets.
+	// the least loaded slot. It relays the most packets.
 	BalanceTracked Balance = "tracked"
 )
 
@@ -31,18 +31,18 @@
 	MaxBucketRecords = 1 << 16
 )
 
-// Objective states what a service promises its callers over a window.
+// Objective is a service level objective, evaluated over a time window.
 type Objective struct {
-	// BrokenPerMillion is the share of flows that may break.
+	// BrokenPerMillion is the number of flows in a million that may break.
 	BrokenPerMillion uint32 `cbor:"1,keyasint,omitempty" json:"broken-per-million" yaml:"broken-per-million"`
-	// RefusedPerMillion is the share of new flows that may be refused.
+	// RefusedPerMillion is the number of new flows in a million that may be refused.
 	RefusedPerMillion uint32 `cbor:"2,keyasint,omitempty" json:"refused-per-million" yaml:"refused-per-million"`
-	// ImbalancePercent is the largest allowed excess of the most loaded
-	// backend server over the mean.
+	// ImbalancePercent is the largest allowed excess of the most loaded backend
+	// server over the mean load, in percent.
 	ImbalancePercent uint32 `cbor:"3,keyasint,omitempty" json:"imbalance-percent" yaml:"imbalance-percent"`
 }
 
-// ServiceConfig is what an operator sets for a service.
+// ServiceConfig is the part of a service that an operator configures.
 type ServiceConfig struct {
 	Name        string         `cbor:"1,keyasint" json:"name" yaml:"name"`
 	Addr        netip.AddrPort `cbor:"2,keyasint" json:"address" yaml:"address"`
@@ -50,15 +50,15 @@
 	Balance     Balance        `cbor:"4,keyasint" json:"balance" yaml:"balance"`
 	Buckets     int            `cbor:"5,keyasint" json:"buckets" yaml:"buckets"`
 	IdleTimeout time.Duration  `cbor:"6,keyasint" json:"idle-timeout" yaml:"idle-timeout"`
-	// MaxRecords limits the flow records of one bucket.
+	// MaxRecords is the largest number of flow records in one bucket.
 	MaxRecords int `cbor:"7,keyasint" json:"max-records" yaml:"max-records"`
-	// MaxEject is the largest share of backend servers, in percent, that
-	// health checks alone may take out.
+	// MaxEject is the largest share of backend servers, in percent, that failed
+	// health checks may eject.
 	MaxEject  int       `cbor:"8,keyasint" json:"max-eject-percent" yaml:"max-eject-percent"`
 	Objective Objective `cbor:"9,keyasint" json:"objective" yaml:"objective"`
 }
 
-// FieldError names the field of a configuration that is wrong.
+// FieldError reports an invalid field of a configuration.
 type FieldError struct {
 	Field  string
 	Reason string
@@ -77,7 +77,7 @@
 	defaultMaxEject    = 30
 )
 
-// SetDefaults fills the fields that the operator left at zero.
+// SetDefaults sets every field that is zero to its default.
 func (c *ServiceConfig) SetDefaults() {
 	if c.Proto == 0 {
 		c.Proto = ProtoTCP
@@ -99,8 +99,8 @@
 	}
 }
 
-// defaultBalance tracks UDP flows, because nothing in a datagram tells the
-// first one of a flow from a later one.
+// defaultBalance tracks UDP flows, because the first datagram of a flow can't be
+// told from a later one.
 func defaultBalance(proto uint8) Balance {
 	if proto == ProtoUDP {
 		return BalanceTracked
@@ -110,7 +110,7 @@
 
 var serviceName = regexp.MustCompile(`^[a-z][a-z0-9-]*$`)
 
-// Validate returns a joined error with one FieldError for each wrong field.
+// Validate returns a joined error with a FieldError for each invalid field, or nil.
 func (c *ServiceConfig) Validate() error {
 	var errs []error
 	check := func(ok bool, field, format string, args ...any) {
@@ -136,12 +136,12 @@
 	return errors.Join(errs...)
 }
 
-// Endpoint returns what the service listens on.
+// Endpoint returns the endpoint that the service listens on.
 func (c *ServiceConfig) Endpoint() Endpoint {
 	return Endpoint{Addr: c.Addr.Addr().As16(), Port: c.Addr.Port(), Proto: c.Proto}
 }
 
-// FieldErrors returns the FieldErrors that err joins.
+// FieldErrors returns every FieldError that err wraps or joins.
 func FieldErrors(err error) []FieldError {
 	if err == nil {
 		return nil
--- a/token.go
+++ b/token.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// Token is a routing token: it travels in the packets of a flow and names the
-// backend server that the flow is on, so that any entry instance can forward any
-// packet. Zero names none.
+// Token is a routing token: the packets of a flow carry it, and it identifies the
+// backend server of the flow, so that any entry instance can forward any packet.
+// Zero means that a packet carries no token.
 type Token uint32
 
-// TokenPacket is what routing by token needs of a packet from a caller.
+// TokenPacket holds the fields of a caller's packet that routing by token needs.
 type TokenPacket struct {
 	Flow FlowKey
-	// Opening is set on the first packet of a flow and on its copies.
+	// Opening is set on the first packet of a flow and on its retransmissions.
 	Opening bool
-	// Copy is the number of opening packets that the caller sent before this one.
+	// Copy is the number of opening packets that the caller sent before this one:
+	// 0 for the first, 1 for its first retransmission.
 	Copy uint32
-	// Closing is set when the caller ends its direction.
+	// Closing is set when the caller closes its direction of the flow.
 	Closing bool
 	// Reset is set when the caller aborts the flow.
 	Reset bool
-	// Payload is the length of the data in bytes.
+	// Payload is the length of the payload in bytes.
 	Payload int
-	// Seq and Ack number the bytes of the two directions.
+	// Seq and Ack are the sequence and acknowledgement numbers, as in TCP.
 	Seq, Ack uint32
 	Token    Token
 }
@@ -32,44 +33,44 @@
 type TokenCodec interface {
 	// Parse reads the header of b into p.
 	Parse(b []byte, p *TokenPacket) error
-	// Forward appends the datagram that brings the packet b to the backend server
-	// of the given identity. If the packet opens a flow, the token is written
-	// into it.
+	// Forward appends to dst the datagram that carries the packet b to the backend
+	// server with the given identity. If the packet opens a flow, the token is
+	// written into it.
 	Forward(dst, b []byte, identity uint64, token Token) []byte
-	// Reset appends a packet that tells the caller that the flow of p does not
-	// exist.
+	// Reset appends to dst a packet that resets the flow of p at the caller, because
+	// the flow does not exist.
 	Reset(dst []byte, p *TokenPacket) []byte
-	// Caller returns where packets for the caller of p go.
+	// Caller returns the address that packets for the caller of p are sent to.
 	Caller(p *TokenPacket) netip.AddrPort
 }
 
-// Incarnation is one life of a backend server, as it reports itself.
+// Incarnation is one run of a backend server, as described by its own reports.
 type Incarnation struct {
-	// Name is the name that the backend server reports under. Another
-	// incarnation may have the same.
+	// Name is the name that the backend server reports under. Several incarnations
+	// may have the same name.
 	Name string `cbor:"1,keyasint"`
-	// Identity is the number that packets for it are addressed with.
+	// Identity is the number that packets to the incarnation are addressed with.
 	Identity uint64 `cbor:"2,keyasint"`
-	// Born is the start of this life, in milliseconds since the epoch. It orders
-	// the incarnations of a name and of an address.
+	// Born is the time at which the incarnation started, in Unix milliseconds. It
+	// orders the incarnations of one name and those of one address.
 	Born int64 `cbor:"3,keyasint"`
 	// Sequence orders the reports of one incarnation.
 	Sequence uint64         `cbor:"4,keyasint"`
 	Service  string         `cbor:"5,keyasint"`
 	Addr     netip.AddrPort `cbor:"6,keyasint"`
 	Zone     Zone           `cbor:"7,keyasint,omitempty"`
-	// Slots is the number of requests that it runs at the same time.
+	// Slots is the number of requests that it processes concurrently.
 	Slots    int  `cbor:"8,keyasint,omitempty"`
 	Draining bool `cbor:"9,keyasint,omitempty"`
-	// Gone is set once the incarnation has left; nothing takes that back.
+	// Gone is set once the incarnation has ended, and is never unset.
 	Gone bool `cbor:"10,keyasint,omitempty"`
-	// Warmup is how much longer it is slow after its start, counted from the
-	// moment at which this value was passed on.
+	// Warmup is the time for which the incarnation is still warming up, counted from
+	// when this value was sent.
 	Warmup time.Duration `cbor:"11,keyasint,omitempty"`
 }
 
-// Token returns the routing token of the incarnation. Identities of 32 bits are
-// their own token; longer ones are folded, and may then share one.
+// Token returns the routing token of the incarnation. An identity of up to 32 bits
+// is its own token; longer identities are folded and may share a token.
 func (i *Incarnation) Token() Token {
 	t := Token(i.Identity ^ i.Identity>>32)
 	if t == 0 {
@@ -78,7 +79,7 @@
 	return t
 }
 
-// Newer reports whether i replaces o, which was reported under the same name.
+// Newer reports whether i supersedes o, which was reported under the same name.
 func (i *Incarnation) Newer(o *Incarnation) bool {
 	if i.Born != o.Born {
 		return i.Born > o.Born
@@ -92,16 +93,17 @@
 	return i.Draining && !o.Draining
 }
 
-// KeepEnded is how long an incarnation that is gone or silent is kept in mind. It
-// exceeds the age of any flow that may still name it.
+// KeepEnded is how long incarnations that have ended or are silent are retained. It
+// exceeds the age of any flow whose packets may still carry their token.
 const KeepEnded = 10 * time.Minute
 
-// BackendRegistry takes what backend servers say of themselves.
+// BackendRegistry receives the reports of backend servers.
 type BackendRegistry interface {
-	// Report takes a report. It returns the control instance that the backend
-	// server should report to from now on; invalid if any will do.
+	// Report records a report. It returns the address of the control instance that
+	// the backend server should report to from now on, or an invalid address if it
+	// need not change.
 	Report(inc *Incarnation) netip.AddrPort
-	// Leave takes the end of an incarnation. Born is zero if the backend server
-	// didn't say which.
-	Leave(name string, born int64)
+	// Leave records that an incarnation has ended. If startedAt is zero, the backend
+	// server didn't say which; the current incarnation of that name has ended.
+	Leave(name string, startedAt int64)
 }
