--- a/logs/logs.go
+++ b/logs/logs.go
@@ -1,4 +1,4 @@
-// Package logs wraps the log library, so that every program logs alike.
+// Package logs wraps the log library, so that every program logs in the same form.
 package logs
 
 import (
@@ -13,18 +13,19 @@
 	"catkinrail.example/catkinrail"
 )
 
-// Logger writes structured lines.
+// Logger writes structured log lines.
 type Logger struct {
 	z zerolog.Logger
 	w io.Closer
 }
 
-// ringLines is the number of lines that wait for a slow reader before new ones
-// replace them.
+// ringLines is the number of lines that are buffered for a slow writer before new
+// lines overwrite the oldest.
 const ringLines = 2048
 
-// NewRing returns a logger like New's that never waits for w: lines that w does
-// not take in time are lost and counted.
+// NewRing returns a logger like New's that never blocks on w. Lines are buffered in a
+// ring; those that are overwritten before w accepts them are lost, and their number
+// is logged.
 func NewRing(w io.Writer, s Settings, program, instance string) *Logger {
 	ring := diode.NewWriter(w, ringLines, 0, func(missed int) {
 		fmt.Fprintf(w, `{"level":"warn","program":%q,"instance":%q,"lost":%d,"message":"log lines lost"}`+"\n", program, instance, missed)
@@ -34,7 +35,7 @@
 	return l
 }
 
-// Close writes what waits.
+// Close writes the buffered lines.
 func (l *Logger) Close() error {
 	if l.w == nil {
 		return nil
@@ -42,7 +43,7 @@
 	return l.w.Close()
 }
 
-// Settings are the settings of a program's log.
+// Settings holds the settings of a program's log.
 type Settings struct {
 	// Level is "debug", "info", "warn" or "error".
 	Level string `yaml:"level"`
@@ -59,25 +60,25 @@
 	return nil
 }
 
-// New returns a logger that writes the settings' level and above to w, each
-// line with the program's and the instance's name.
+// New returns a logger that writes lines of the settings' level and above to w, each
+// with the name of the program and of the instance.
 func New(w io.Writer, s Settings, program, instance string) *Logger {
 	level, err := zerolog.ParseLevel(s.Level)
 	if err != nil {
 		level = zerolog.InfoLevel
 	}
-	z := zerolog.New(w).Level(level).Hook(stamp{}).With().Str("program", program).Str("instance", instance).Logger()
+	z := zerolog.New(w).Level(level).Hook(timestampHook{}).With().Str("program", program).Str("instance", instance).Logger()
 	return &Logger{z: z}
 }
 
-// timeFormat gives milliseconds, in which flows open and end.
+// timeFormat has milliseconds, because flows can open and end within a second.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// stamp adds the wall clock's time to a line.
-type stamp struct{}
+// timestampHook adds the wall clock's time to each line.
+type timestampHook struct{}
 
 // Run implements zerolog.Hook.
-func (stamp) Run(e *zerolog.Event, _ zerolog.Level, _ string) {
+func (timestampHook) Run(e *zerolog.Event, _ zerolog.Level, _ string) {
 	e.Str("time", time.Now().UTC().Format(timeFormat))
 }
 
@@ -86,16 +87,16 @@
 	return &Logger{z: zerolog.Nop()}
 }
 
-// Info logs what an operator wants to see on an ordinary day.
+// Info logs events of normal operation that an operator wants to see.
 func (l *Logger) Info() *zerolog.Event { return l.z.Info() }
 
 // Debug logs details.
 func (l *Logger) Debug() *zerolog.Event { return l.z.Debug() }
 
-// Warn logs an error that is dealt with, along with its step and peer.
+// Warn logs an error that the program handles itself, with its step and peer.
 func (l *Logger) Warn(err error) *zerolog.Event { return withError(l.z.Warn(), err) }
 
-// Error logs an error that needs an operator, along with its step and peer.
+// Error logs an error that needs an operator's attention, with its step and peer.
 func (l *Logger) Error(err error) *zerolog.Event { return withError(l.z.Error(), err) }
 
 func withError(e *zerolog.Event, err error) *zerolog.Event {
@@ -111,8 +112,8 @@
 	return e.Err(err)
 }
 
-// Limiter lets one log line through in every interval and counts the others.
-// Whatever packets can cause is logged through it.
+// Limiter allows one log line per interval and counts the lines that it suppresses.
+// Use it for lines that packets can trigger, so that they can't flood the log.
 type Limiter struct {
 	clock    catkinrail.Clock
 	interval time.Duration
@@ -122,13 +123,13 @@
 	skipped uint64
 }
 
-// NewLimiter returns a limiter for one kind of line.
+// NewLimiter returns a limiter that allows one line per interval.
 func NewLimiter(clock catkinrail.Clock, interval time.Duration) *Limiter {
 	return &Limiter{clock: clock, interval: interval}
 }
 
-// Allow reports whether a line may be written now, and how many were not since
-// the last one.
+// Allow reports whether a line may be written now and, if so, how many lines were
+// suppressed since the last one.
 func (l *Limiter) Allow() (skipped uint64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -142,8 +143,8 @@
 	return skipped, true
 }
 
-// Budget lets a number of log lines through in every second and counts the
-// others, so that the volume stays bounded under load.
+// Budget allows a number of log lines per second and counts the lines that it
+// suppresses, so that the log volume stays bounded under load.
 type Budget struct {
 	clock catkinrail.Clock
 	lines int
@@ -154,13 +155,13 @@
 	skipped uint64
 }
 
-// NewBudget returns a budget of so many lines a second.
+// NewBudget returns a budget that allows the given number of lines per second.
 func NewBudget(clock catkinrail.Clock, lines int) *Budget {
 	return &Budget{clock: clock, lines: lines}
 }
 
-// Allow reports whether a line may be written now, and how many were not since
-// the last one.
+// Allow reports whether a line may be written now and, if so, how many lines were
+// suppressed since the last one.
 func (b *Budget) Allow() (skipped uint64, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/logs/logs_test.go
+++ b/logs/logs_test.go
@@ -12,13 +12,13 @@
 	"catkinrail.example/catkinrail/logs"
 )
 
-// manual is a clock that tests set.
-type manual struct{ now time.Time }
+// manualClock is a clock that the test sets.
+type manualClock struct{ now time.Time }
 
-func (m *manual) Now() time.Time { return m.now }
+func (m *manualClock) Now() time.Time { return m.now }
 
 func TestBudget(t *testing.T) {
-	clock := &manual{now: time.Unix(1000, 0)}
+	clock := &manualClock{now: time.Unix(1000, 0)}
 	b := logs.NewBudget(clock, 3)
 	tests := []struct {
 		at      int64
@@ -44,24 +44,25 @@
 	}
 }
 
-// stalled is a writer that takes nothing until it is released.
-type stalled struct {
+// blockedWriter is a writer whose writes block until it is released.
+type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	buf     bytes.Buffer
 }
 
-func (s *stalled) Write(b []byte) (int, error) {
-	<-s.release
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.buf.Write(b)
+func (w *blockedWriter) Write(b []byte) (int, error) {
+	<-w.release
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.buf.Write(b)
 }
 
-// TestRingNeverWaits logs far more than the ring holds while nothing is read. That
-// it returns at all is the test; what was lost is counted.
-func TestRingNeverWaits(t *testing.T) {
-	w := &stalled{release: make(chan struct{})}
+// TestRingDoesNotBlock logs far more lines than the ring holds while the writer is
+// blocked. A logger that waits for its writer would hang here. The newest line must be
+// written, and the loss of older ones reported.
+func TestRingDoesNotBlock(t *testing.T) {
+	w := &blockedWriter{release: make(chan struct{})}
 	l := logs.NewRing(w, logs.Settings{Level: "info"}, "entry", "entry-1")
 	for i := range 10_000 {
 		l.Info().Int("n", i).Msg("line")
