--- a/coordination/message/message.go
+++ b/coordination/message/message.go
@@ -1,6 +1,5 @@
-// Package message defines what control instances tell each other and what entry
-// instances and they tell one another. Each is the body of a frame of
-// protocol/control.
+// Package message defines the messages that control instances exchange with each
+// other and with entry instances. Each is the body of a frame of protocol/control.
 package message
 
 import (
@@ -12,16 +11,16 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-// Greeting says who a control instance is.
+// Greeting answers a Hello call with the identity of a control instance.
 type Greeting struct {
 	Node quorum.NodeID `cbor:"1,keyasint"`
 	Name string        `cbor:"2,keyasint"`
-	// LastIndex is the index of its last entry.
+	// LastIndex is the index of the last entry of its log.
 	LastIndex uint64 `cbor:"3,keyasint"`
 }
 
-// JoinRequest asks the leader to take in a control instance with a new disk. An
-// earlier member of the same name is removed.
+// JoinRequest asks the leader to add a control instance with a new disk as a member.
+// An earlier member of the same name or address is removed.
 type JoinRequest struct {
 	Node quorum.NodeID `cbor:"1,keyasint"`
 	Peer quorum.Peer   `cbor:"2,keyasint"`
@@ -29,69 +28,77 @@
 
 // JoinReply answers a JoinRequest.
 type JoinReply struct {
-	// Wait asks for the request to be sent again later.
+	// Wait asks the sender to send the request again later.
 	Wait    bool           `cbor:"1,keyasint,omitempty"`
 	Members quorum.Members `cbor:"2,keyasint"`
 	// Leader is the member to ask next, zero if none is known.
 	Leader quorum.NodeID `cbor:"3,keyasint,omitempty"`
 }
 
-// Registered answers a registration.
+// Registered answers a Register call.
 type Registered struct {
 	ID catkinrail.InstanceID `cbor:"1,keyasint"`
 }
 
-// Heartbeat is what an entry instance reports at intervals.
+// Heartbeat is the periodic report of an entry instance to the leader.
 type Heartbeat struct {
 	ID catkinrail.InstanceID `cbor:"1,keyasint"`
 	// Term is the highest term that the instance has seen.
-	Term   uint64               `cbor:"2,keyasint,omitempty"`
-	Have   uint64               `cbor:"3,keyasint,omitempty"`
-	Synced uint64               `cbor:"4,keyasint,omitempty"`
-	Busy   map[uint64]plan.Busy `cbor:"5,keyasint,omitempty"`
-	// Announcements are new or due to be renewed.
-	Announcements []plan.Announcement                 `cbor:"6,keyasint,omitempty"`
-	Exceptions    map[catkinrail.ServiceID][]uint32   `cbor:"7,keyasint,omitempty"`
-	Leaving       bool                                `cbor:"8,keyasint,omitempty"`
-	Counts        map[catkinrail.ServiceID]FlowCounts `cbor:"9,keyasint,omitempty"`
-	// Left says that the instance forwards nothing any more and ends.
+	Term uint64 `cbor:"2,keyasint,omitempty"`
+	// Have is the version of the state that the instance has.
+	Have uint64 `cbor:"3,keyasint,omitempty"`
+	// Synced is the version of the view for which it has handed over its records.
+	Synced uint64 `cbor:"4,keyasint,omitempty"`
+	// Busy holds, by move, why moves can't settle yet.
+	Busy map[uint64]plan.Busy `cbor:"5,keyasint,omitempty"`
+	// Announcements holds those that are new or due for renewal.
+	Announcements []plan.Announcement `cbor:"6,keyasint,omitempty"`
+	// Exceptions holds, by service, the settled buckets with records that were made
+	// while the instance's zone was partitioned.
+	Exceptions map[catkinrail.ServiceID][]uint32   `cbor:"7,keyasint,omitempty"`
+	Leaving    bool                                `cbor:"8,keyasint,omitempty"`
+	Counts     map[catkinrail.ServiceID]FlowCounts `cbor:"9,keyasint,omitempty"`
+	// Left is set once the instance has stopped forwarding and is about to exit.
 	Left bool `cbor:"11,keyasint,omitempty"`
-	// Wait lets the answer wait for a change.
+	// Wait lets the leader delay its reply until there is a change to send.
 	Wait bool `cbor:"10,keyasint,omitempty"`
 }
 
-// FlowCounts is what an entry instance counted for a service since its last
+// FlowCounts holds an entry instance's counts for a service since its last
 // heartbeat.
 type FlowCounts struct {
-	// Opened counts opening packets that were passed on.
+	// Opened counts opening packets that were forwarded.
 	Opened  uint64 `cbor:"1,keyasint,omitempty"`
 	Refused uint64 `cbor:"2,keyasint,omitempty"`
-	// Unrecorded counts packets of flows whose place is not known any more.
+	// Unrecorded counts packets dropped because no record says which backend
+	// server their flow belongs to.
 	Unrecorded uint64 `cbor:"3,keyasint,omitempty"`
 	// BySlot counts opened flows by slot.
 	BySlot map[catkinrail.SlotID]uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// HeartbeatReply answers a Heartbeat. It proves that its sender was leader of
-// the term and held a lease when it answered.
+// HeartbeatReply answers a Heartbeat. It proves that its sender was the leader of
+// the term and held a lease when it replied.
 type HeartbeatReply struct {
 	Term uint64 `cbor:"1,keyasint"`
-	// Lease is the length of the lease, counted from the sending of the heartbeat.
+	// Lease is the duration of the lease, counted from when the heartbeat was sent.
 	Lease   time.Duration    `cbor:"2,keyasint"`
 	Changes []cluster.Change `cbor:"3,keyasint,omitempty"`
-	// State replaces the changes if they are no longer known.
+	// State is the whole state. It replaces the changes if the leader no longer
+	// has them.
 	State *cluster.State `cbor:"4,keyasint,omitempty"`
-	// Unregistered says that the instance isn't registered any more.
+	// Unregistered is set if the instance is no longer registered.
 	Unregistered bool `cbor:"5,keyasint,omitempty"`
 }
 
-// ReadMark names the entry that an instance must have applied before it answers
-// a read that began before the mark was taken.
+// ReadMark answers a ReadIndex call. Index is that of the entry that an instance
+// must have applied before it answers a read that began before the call.
 type ReadMark struct {
 	Index uint64 `cbor:"1,keyasint"`
 }
 
-// Pulse renews the report of an incarnation that the receiver knows.
+// Pulse renews the report of an incarnation that the receiver already knows, without
+// repeating it.
 type Pulse struct {
 	Name     string `cbor:"1,keyasint"`
 	Born     int64  `cbor:"2,keyasint"`
@@ -99,68 +106,71 @@
 	Draining bool   `cbor:"4,keyasint,omitempty"`
 }
 
-// Gossip is what a control instance tells another about backend servers.
+// Gossip carries what a control instance knows about backend servers to another.
 type Gossip struct {
-	// Changed are incarnations whose state has changed.
+	// Changed holds incarnations whose state has changed.
 	Changed []catkinrail.Incarnation `cbor:"1,keyasint,omitempty"`
 	Pulses  []Pulse                  `cbor:"2,keyasint,omitempty"`
-	// Digest is a hash of the sender's directory; zero asks for no comparison.
+	// Digest is a hash of the sender's directory; zero means no comparison.
 	Digest uint64 `cbor:"3,keyasint,omitempty"`
-	// Full says that Changed is the sender's whole directory, and asks for the
-	// receiver's.
+	// Full is set if Changed is the sender's whole directory. It asks for the
+	// receiver's whole directory in return.
 	Full bool `cbor:"4,keyasint,omitempty"`
 }
 
 // GossipReply answers a Gossip.
 type GossipReply struct {
-	// Differs says that the directories' digests differ.
+	// Differs is set if the directories are known to differ: by their digests, or
+	// by a renewal that doesn't match the receiver's directory.
 	Differs bool `cbor:"1,keyasint,omitempty"`
-	// All is the receiver's directory, in answer to a full one.
+	// All is the receiver's whole directory, in reply to a Full message.
 	All []catkinrail.Incarnation `cbor:"2,keyasint,omitempty"`
 }
 
-// FollowRequest begins a stream of updates to an entry instance.
+// FollowRequest asks a control instance for a stream of updates to an entry
+// instance.
 type FollowRequest struct {
 	Name string          `cbor:"1,keyasint"`
 	Zone catkinrail.Zone `cbor:"2,keyasint,omitempty"`
 	// Document is the version of the document that the entry instance has.
 	Document uint64 `cbor:"3,keyasint,omitempty"`
-	// Resume is what the last stream told, if it came from the same address.
+	// Resume is the point that the last stream had reached, if it came from the same
+	// address.
 	Resume ResumePoint `cbor:"4,keyasint,omitempty"`
 }
 
-// ResumePoint is a point in what a control instance tells, from which another stream
-// can go on.
+// ResumePoint is a point in a control instance's updates from which another stream
+// can resume.
 type ResumePoint struct {
-	// Process is the random number of the control instance's process, and zero if
-	// there is no such point: revisions count from its start.
+	// Process is a random number that identifies the control instance's process,
+	// because revisions count from its start. Zero means that there is no such point.
 	Process uint64 `cbor:"1,keyasint,omitempty"`
-	// Revision is that of the last change that was told.
+	// Revision is the revision of the last change that was sent.
 	Revision uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// FollowedBackend is an incarnation with what control has observed of it.
+// FollowedBackend is an incarnation with what the control instance observed of it.
 type FollowedBackend struct {
 	catkinrail.Incarnation
-	// Silent is set while it doesn't report.
+	// Silent is set while the backend server doesn't report.
 	Silent bool `cbor:"20,keyasint,omitempty"`
 }
 
-// FollowUpdate is what an entry instance hears of a control instance.
+// FollowUpdate is one update from a control instance to an entry instance.
 type FollowUpdate struct {
-	// Document is set if it is newer than the one sent before.
+	// Document is set if it is newer than the one that was sent before.
 	Document *catkinrail.Document `cbor:"1,keyasint,omitempty"`
 	Backends []FollowedBackend    `cbor:"2,keyasint,omitempty"`
-	// Peers are the control instances.
+	// Peers holds the control instances; it is sent when they have changed.
 	Peers []quorum.Peer `cbor:"3,keyasint,omitempty"`
-	// State is set on updates that tell the sender's own state, in the fields
-	// below. They follow what they speak of.
+	// State is set on updates that carry the sender's own state, in the fields
+	// below. They are sent after the data that they refer to.
 	State bool `cbor:"6,keyasint,omitempty"`
-	// Current says that the sender is in touch with the leader.
+	// Current is set if the sender is in contact with the leader.
 	Current bool `cbor:"4,keyasint,omitempty"`
-	// Complete says that the sender's directory, which has been sent, holds what
-	// the other control instances knew when it started.
+	// Complete is set if the sender's directory, which has been sent, includes what
+	// the other control instances knew when the sender started.
 	Complete bool `cbor:"5,keyasint,omitempty"`
-	// Resume is the point up to which this stream has told everything.
+	// Resume is the point up to which this stream has sent everything.
 	Resume ResumePoint `cbor:"7,keyasint,omitempty"`
 }
