--- a/settings/settings.go
+++ b/settings/settings.go
@@ -15,13 +15,13 @@
 	"catkinrail.example/catkinrail"
 )
 
-// Section is a part of the settings that can check itself. Validate fills in
-// defaults and returns what is wrong, fields named by their path in the file.
+// Section is a part of the settings that can validate itself. Validate sets defaults
+// and returns the invalid fields, named by their path in the section.
 type Section interface {
 	Validate() []catkinrail.FieldError
 }
 
-// Error lists what is wrong with a settings file.
+// Error lists the errors in a settings file, one per line.
 type Error struct {
 	File  string
 	Lines []string
@@ -32,8 +32,8 @@
 	return strings.Join(e.Lines, "\n")
 }
 
-// Load reads the file into cfg and checks it. An unknown key or a bad value is
-// reported with the file, line and key.
+// Load reads the file into cfg and validates it. Unknown keys and invalid values are
+// reported with file, line and key.
 func Load(file string, cfg Section) error {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -42,13 +42,13 @@
 	return Parse(file, b, cfg)
 }
 
-// Parse is Load for the contents of a file.
+// Parse is like Load, but takes the contents of the file.
 func Parse(file string, b []byte, cfg Section) error {
 	return parseWith(file, b, cfg, yaml.Strict())
 }
 
-// ParseOpen is Parse for a format that may gain keys: those that cfg doesn't
-// know are passed over.
+// ParseOpen is like Parse, but ignores keys that cfg doesn't know, for formats that
+// may gain keys.
 func ParseOpen(file string, b []byte, cfg Section) error {
 	return parseWith(file, b, cfg)
 }
@@ -72,10 +72,11 @@
 	return e
 }
 
-// errMalformed reports input on which the YAML library gave up.
+// errMalformed reports input on which the YAML library panicked.
 var errMalformed = errors.New("malformed YAML")
 
-// decode reads b into v. The library panics on some malformed documents.
+// decode decodes b into v. The library panics on some malformed documents; the panic
+// is returned as an error.
 func decode(b []byte, v any, opts ...yaml.DecodeOption) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -85,7 +86,7 @@
 	return yaml.UnmarshalWithOptions(b, v, opts...)
 }
 
-// parse returns the document's nodes, with the same care as decode.
+// parse returns the document's nodes. Like decode, it returns panics as errors.
 func parse(b []byte) (doc *ast.File, err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -95,9 +96,9 @@
 	return parser.ParseBytes(b, 0)
 }
 
-// decodeLine formats an error of decoding. The library doesn't say where a value
-// of a type of its own, such as a duration, is wrong; the key is then found by
-// decoding each by itself.
+// decodeLine formats a decoding error. For values of some types, such as durations,
+// the library doesn't report a position; the key is then found by decoding each key
+// separately.
 func decodeLine(file string, b []byte, cfg Section, err error) string {
 	doc, parseErr := parse(b)
 	if strings.HasPrefix(err.Error(), "[") || parseErr != nil || len(doc.Docs) == 0 {
@@ -116,8 +117,8 @@
 	return syntaxLine(file, err)
 }
 
-// syntaxLine formats an error of the YAML library, which begins with the line
-// and column in brackets, on one line.
+// syntaxLine formats an error of the YAML library on one line. The library's text may
+// begin with the line and column in brackets.
 func syntaxLine(file string, err error) string {
 	text, _, _ := strings.Cut(err.Error(), "\n")
 	var line, column int
@@ -127,8 +128,8 @@
 	return fmt.Sprintf("%s:%d: %s", file, line, text)
 }
 
-// lineOf returns the line of a field, or of the nearest enclosing one that the
-// file has.
+// lineOf returns the line of a field or, if the file doesn't have it, of the nearest
+// enclosing field.
 func lineOf(doc *ast.File, field string) int {
 	for field != "" {
 		if path, err := yaml.PathString("$." + field); err == nil {
@@ -142,7 +143,7 @@
 	return 1
 }
 
-// Prefix names the fields of a section by their path in the file.
+// Prefix prepends the section's name to the fields' paths.
 func Prefix(section string, fields []catkinrail.FieldError) []catkinrail.FieldError {
 	for i := range fields {
 		fields[i].Field = section + "." + fields[i].Field
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -34,7 +34,7 @@
 		name, text string
 		want       []string
 	}{
-		{"right", "name: a\nlease: 2s\n", nil},
+		{"valid", "name: a\nlease: 2s\n", nil},
 		{"unknown key", "name: a\ncolour: b\n", []string{`f.yaml:2: unknown field "colour"`}},
 		{"bad duration", "name: a\nlease: soon\n", []string{`f.yaml:2:`}},
 		{"missing field", "lease: 2s\n", []string{"f.yaml:1: name: is missing"}},
--- a/settings/watch.go
+++ b/settings/watch.go
@@ -10,14 +10,14 @@
 	"catkinrail.example/catkinrail/logs"
 )
 
-// watchInterval is the time between two looks at a settings file that may change
-// without a signal.
+// watchInterval is the interval at which a settings file is checked for changes, which
+// may come without a signal.
 const watchInterval = time.Second
 
-// Watch calls take with the contents of the file whenever they have changed,
-// which it looks for at intervals and at each signal, until ctx ends. If take
-// fails, what was in force stays.
-func Watch(ctx context.Context, file string, content []byte, signals <-chan os.Signal, log *logs.Logger, take func([]byte) error) {
+// Watch calls apply with the contents of the file whenever they have changed, until ctx
+// is done. It checks at intervals and at each signal; content is what the file held
+// before. If apply fails, the earlier settings stay in force.
+func Watch(ctx context.Context, file string, content []byte, signals <-chan os.Signal, log *logs.Logger, apply func([]byte) error) {
 	t := time.NewTicker(watchInterval)
 	defer t.Stop()
 	for {
@@ -33,7 +33,7 @@
 		}
 		if err == nil {
 			content = b
-			err = take(b)
+			err = apply(b)
 		}
 		if err != nil {
 			log.Warn(catkinrail.At(err, "read settings", file)).Msg("settings not reloaded")
--- a/settings/watch_test.go
+++ b/settings/watch_test.go
@@ -15,8 +15,8 @@
 	"catkinrail.example/catkinrail/settings"
 )
 
-// TestWatch changes a file and signals: what is right is taken once, what is wrong
-// is not, and neither ends the watch.
+// TestWatch changes a file and sends signals. Each new content must be passed on exactly
+// once. Neither invalid settings nor a missing file may end the watch.
 func TestWatch(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.yaml")
 	write := func(text string) {
@@ -26,11 +26,11 @@
 	write("a")
 	ctx, cancel := context.WithCancel(t.Context())
 	signals := make(chan os.Signal)
-	taken := make(chan string)
+	applied := make(chan string)
 	var g errgroup.Group
 	g.Go(func() error {
 		settings.Watch(ctx, file, []byte("a"), signals, logs.Discard(), func(b []byte) error {
-			taken <- string(b)
+			applied <- string(b)
 			if string(b) == "wrong" {
 				return errors.New("not settings")
 			}
@@ -38,20 +38,20 @@
 		})
 		return nil
 	})
-	signals <- syscall.SIGHUP // unchanged: nothing is taken
+	signals <- syscall.SIGHUP // unchanged: nothing is applied
 	for _, text := range []string{"b", "wrong", "c"} {
 		write(text)
 		select {
 		case signals <- syscall.SIGHUP:
-			require.Equal(t, text, <-taken)
-		case got := <-taken: // the watch looked by itself
+			require.Equal(t, text, <-applied)
+		case got := <-applied: // found by the periodic check
 			require.Equal(t, text, got)
 		}
 	}
 	require.NoError(t, os.Remove(file))
-	signals <- syscall.SIGHUP // a missing file is reported
+	signals <- syscall.SIGHUP // a missing file must not end the watch
 	write("d")
-	require.Equal(t, "d", <-taken)
+	require.Equal(t, "d", <-applied)
 	cancel()
 	require.NoError(t, g.Wait())
 }
