--- a/transport/clock/clock.go
+++ b/transport/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock implements the clock on the system's time.
+// Package clock implements catkinrail.Clock on the system's clocks.
 package clock
 
 import (
@@ -7,15 +7,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// System is a clock that begins at the wall clock's time and from then on
-// follows the time since boot. It never steps, and it goes on while the machine
-// is suspended, so that a lease can't outlast a suspension.
+// System is a clock that starts at the wall clock's time and then advances with the
+// time since boot. It never jumps, and it keeps running while the machine is suspended,
+// so that a lease can't outlast a suspension.
 type System struct {
 	base time.Time
 	boot time.Duration
 }
 
-// New returns a clock that agrees with the wall clock now.
+// New returns a clock that starts at the wall clock's current time.
 func New() *System {
 	return &System{base: time.Now().Round(0), boot: sinceBoot()}
 }
--- a/transport/clock/sleep.go
+++ b/transport/clock/sleep.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Sleep waits for the span and reports whether it went by before ctx ended.
-func Sleep(ctx context.Context, span time.Duration) bool {
-	t := time.NewTimer(span)
+// Sleep waits for d. It returns false if ctx was done first.
+func Sleep(ctx context.Context, d time.Duration) bool {
+	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
