--- a/transport/disk/disk.go
+++ b/transport/disk/disk.go
@@ -1,4 +1,4 @@
-// Package disk implements the durable folder on the operating system's files.
+// Package disk implements catkinrail.Dir on the operating system's file system.
 package disk
 
 import (
@@ -9,20 +9,21 @@
 	"catkinrail.example/catkinrail"
 )
 
-// Permissions of what is created.
+// Permissions of created folders and files.
 const (
 	dirMode  = 0o750
 	fileMode = 0o640
 )
 
-// Dir is a folder of the file system.
+// Dir is a locked folder of the file system.
 type Dir struct {
 	path string
-	// lock is held for the life of the process.
+	// lock is the open lock file. The lock is held until Close.
 	lock *os.File
 }
 
-// Open creates the folder if it's missing and locks it against other processes.
+// Open opens the folder, creating it if it doesn't exist, and locks it against other
+// processes.
 func Open(path string) (*Dir, error) {
 	if err := os.MkdirAll(path, dirMode); err != nil {
 		return nil, fmt.Errorf("data folder: %w", err)
@@ -34,7 +35,7 @@
 	return &Dir{path: path, lock: lock}, nil
 }
 
-// Close releases the lock.
+// Close releases the lock on the folder.
 func (d *Dir) Close() error {
 	return d.lock.Close()
 }
