--- a/transport/udp/udp.go
+++ b/transport/udp/udp.go
@@ -14,18 +14,19 @@
 	"catkinrail.example/catkinrail"
 )
 
-// Sizes.
+// Sizes of batches, datagrams and buffers.
 const (
-	// BatchSize is the number of datagrams read or written by one system call.
+	// BatchSize is the largest number of datagrams that one system call reads or writes.
 	BatchSize = 64
-	// MaxDatagram is the largest datagram, in bytes, that is read whole.
+	// MaxDatagram is the size, in bytes, of the buffer for a received datagram; longer
+	// ones are truncated.
 	MaxDatagram = 9600
-	// bufferSize is asked for as the socket's buffers, in bytes.
+	// bufferSize is the requested size of the socket's buffers, in bytes.
 	bufferSize = 4 << 20
 )
 
-// Conn is a socket of one worker. Several sockets may share an address; the
-// kernel spreads the datagrams over them.
+// Conn is the socket of one worker. Several sockets may share an address; the kernel
+// distributes the datagrams over them.
 type Conn struct {
 	conn   *net.UDPConn
 	packet *ipv4.PacketConn
@@ -35,7 +36,7 @@
 	addrs  map[netip.AddrPort]*net.UDPAddr
 }
 
-// Listen opens a socket.
+// Listen opens a socket on addr. Other sockets may listen on the same address.
 func Listen(ctx context.Context, addr netip.AddrPort) (*Conn, error) {
 	lc := net.ListenConfig{Control: func(_, _ string, rc syscall.RawConn) error {
 		var optErr error
@@ -53,9 +54,9 @@
 	}
 	conn, ok := pc.(*net.UDPConn)
 	if !ok {
-		return nil, catkinrail.At(fmt.Errorf("socket is a %T", pc), "listen", addr.String())
+		return nil, catkinrail.At(fmt.Errorf("unexpected socket type %T", pc), "listen", addr.String())
 	}
-	// Smaller buffers than asked for are no error.
+	// Getting smaller buffers than requested is not an error.
 	_ = conn.SetReadBuffer(bufferSize)
 	_ = conn.SetWriteBuffer(bufferSize)
 	c := &Conn{
@@ -75,14 +76,14 @@
 	return addrPort(c.conn.LocalAddr())
 }
 
-// Read waits for datagrams and returns how many there are.
+// Read waits for datagrams, receives up to BatchSize of them and returns their number.
 func (c *Conn) Read() (int, error) {
 	return c.packet.ReadBatch(c.in, 0)
 }
 
-// Datagram returns the i-th datagram of the last Read. It's valid until the next
-// one. Whole is false if the datagram was longer than MaxDatagram.
-func (c *Conn) Datagram(i int) (b []byte, whole bool) {
+// Datagram returns the i-th datagram of the last Read. It is valid until the next Read.
+// If complete is false, the datagram filled the buffer and may have been truncated.
+func (c *Conn) Datagram(i int) (b []byte, complete bool) {
 	m := &c.in[i]
 	return m.Buffers[0][:m.N], m.N < MaxDatagram
 }
@@ -99,7 +100,7 @@
 	return netip.AddrPort{}
 }
 
-// maxAddrs bounds the cache of addresses.
+// maxAddrs is the largest number of cached addresses; a full cache is cleared.
 const maxAddrs = 1 << 16
 
 func (c *Conn) udpAddr(to netip.AddrPort) *net.UDPAddr {
@@ -114,8 +115,8 @@
 	return a
 }
 
-// Queue adds a datagram to the next Flush. The bytes must stay as they are until
-// then. A full queue is flushed first.
+// Queue queues a datagram for the next Flush, until when b must not be modified. A full
+// queue is flushed first.
 func (c *Conn) Queue(to netip.AddrPort, b []byte) {
 	if c.queued == len(c.out) {
 		c.Flush()
@@ -126,13 +127,13 @@
 	c.queued++
 }
 
-// Discard empties the queue without sending it.
+// Discard drops the queued datagrams without sending them.
 func (c *Conn) Discard() {
 	c.queued = 0
 }
 
-// Flush sends the queue. A datagram that can't be sent is lost, as it could be
-// in the network; the number of those is returned.
+// Flush sends the queued datagrams. Those that can't be sent are dropped, as the network
+// may drop them too; lost is their number.
 func (c *Conn) Flush() (lost int) {
 	for sent := 0; sent < c.queued; {
 		n, err := c.packet.WriteBatch(c.out[sent:c.queued], 0)
@@ -146,7 +147,7 @@
 	return lost
 }
 
-// Close closes the socket; a waiting Read fails.
+// Close closes the socket. A blocked Read returns an error.
 func (c *Conn) Close() error {
 	return c.conn.Close()
 }
