--- a/state/burn/burn.go
+++ b/state/burn/burn.go
@@ -1,5 +1,5 @@
-// Package burn keeps counts of flows over sliding windows and works out how
-// fast a service's error budget is being spent.
+// Package burn counts flows over sliding windows and computes the rate at which a
+// service spends its error budget.
 package burn
 
 import (
@@ -8,13 +8,13 @@
 	"catkinrail.example/catkinrail"
 )
 
-// Window is a span that is reported on.
+// Window is a time span that ends now and is reported on.
 type Window struct {
 	Name string
 	Span time.Duration
 }
 
-// Windows lists the reported spans, shortest first.
+// Windows lists the reported windows, shortest first.
 var Windows = []Window{
 	{"5m", 5 * time.Minute},
 	{"1h", time.Hour},
@@ -22,7 +22,8 @@
 	{"3d", 72 * time.Hour},
 }
 
-// tiers keep counts at a resolution that suits the windows that they serve.
+// tiers are the resolutions at which counts are kept, finest first. A window uses the
+// first tier that spans it.
 var tiers = []struct {
 	step  time.Duration
 	count int
@@ -32,13 +33,13 @@
 	{time.Hour, 73},
 }
 
-// Counts are what was counted in a span.
+// Counts holds the counts of a time span.
 type Counts struct {
 	Flows, Broken, Refused uint64
-	// Samples counts the measurements of imbalance, and Beyond those above the
+	// Samples counts the measurements of imbalance, Beyond those above the
 	// objective.
 	Samples, Beyond uint64
-	// ImbalanceSum adds up the measured excess over the mean, in percent.
+	// ImbalanceSum is the sum of the measured imbalances, in percent.
 	ImbalanceSum float64
 }
 
@@ -51,8 +52,8 @@
 	c.ImbalanceSum += o.ImbalanceSum
 }
 
-// Imbalance returns the mean excess of the most loaded backend server over the
-// mean, in percent.
+// Imbalance returns the average, over all samples, of the excess of the most loaded
+// backend server over the mean load, in percent.
 func (c *Counts) Imbalance() float64 {
 	if c.Samples == 0 {
 		return 0
@@ -60,18 +61,18 @@
 	return c.ImbalanceSum / float64(c.Samples)
 }
 
-// Meter counts for one service.
+// Meter counts the flows of one service.
 type Meter struct {
 	rings [][]slot
 }
 
 type slot struct {
-	// number counts steps since the epoch.
+	// number is the number of the tier's steps since the Unix epoch.
 	number int64
 	Counts
 }
 
-// NewMeter returns a meter that has counted nothing.
+// NewMeter returns an empty meter.
 func NewMeter() *Meter {
 	m := &Meter{}
 	for _, t := range tiers {
@@ -80,7 +81,7 @@
 	return m
 }
 
-// Add counts c at the given time.
+// Add adds c to the counts at the given time.
 func (m *Meter) Add(now time.Time, c Counts) {
 	for i, t := range tiers {
 		number := now.UnixNano() / int64(t.step)
@@ -92,7 +93,7 @@
 	}
 }
 
-// Sum returns what was counted in the span that ends now.
+// Sum returns the counts of the span that ends now.
 func (m *Meter) Sum(now time.Time, span time.Duration) Counts {
 	var total Counts
 	for i, t := range tiers {
@@ -111,19 +112,19 @@
 	return total
 }
 
-// Report says how a service did over a window. A burn rate of 1 uses the budget
-// up exactly at the end of the window.
+// Report is how a service performed over a window. A burn rate of 1 uses up the budget
+// exactly at the end of the window.
 type Report struct {
 	Window string
 	Counts
 	BrokenBurn, RefusedBurn, ImbalanceBurn float64
-	// Cause names what spent most of the budget.
+	// Cause is what spent the most of its budget, empty if nothing did.
 	Cause string
 }
 
 const perMillion = 1_000_000
 
-// Evaluate reports on each window.
+// Evaluate returns a report for each window.
 func (m *Meter) Evaluate(now time.Time, o catkinrail.Objective) []Report {
 	list := make([]Report, 0, len(Windows))
 	for _, w := range Windows {
@@ -142,8 +143,8 @@
 	return list
 }
 
-// rate returns the share of bad flows over the budgeted share. Without an
-// objective nothing is spent.
+// rate returns the share of bad flows divided by the share that budget allows, in flows
+// per million. Without an objective it is 0.
 func rate(bad, all uint64, budget uint32) float64 {
 	if budget == 0 || all == 0 {
 		return 0
