--- a/control/core/leader.go
+++ b/control/core/leader.go
@@ -191,7 +191,7 @@
 		return reply, nil
 	}
 	c.leader.note(c, hb, now)
-	reply.Changes, reply.State = c.since(hb.Have)
+	reply.Changes, reply.State = c.since(hb.StateVersion)
 	return reply, nil
 }
 
@@ -203,8 +203,8 @@
 		l.members[hb.ID] = e
 	}
 	e.until = max(e.until, now+l.leaseSpan(c))
-	e.member = plan.Member{Version: hb.Have, Synced: hb.Synced, Busy: hb.Busy}
-	if hb.Have >= c.state.Version {
+	e.member = plan.Member{Version: hb.StateVersion, Synced: hb.Synced, Busy: hb.Busy}
+	if hb.StateVersion >= c.state.Version {
 		e.current = now
 	}
 	if hb.Leaving && !e.leaving {
--- a/control/core/members.go
+++ b/control/core/members.go
@@ -17,10 +17,10 @@
 const promoteGap = 16
 
 // Greeting says who this instance is.
-func (c *Core) Greeting(ctx context.Context) (*message.Greeting, error) {
-	g := &message.Greeting{}
+func (c *Core) Greeting(ctx context.Context) (*message.HelloReply, error) {
+	g := &message.HelloReply{}
 	err := c.do(ctx, func() {
-		*g = message.Greeting{Node: c.node.ID(), Name: c.cfg.Name, LastIndex: c.node.LastIndex()}
+		*g = message.HelloReply{Node: c.node.ID(), Name: c.cfg.Name, LastIndex: c.node.LastIndex()}
 	})
 	return g, err
 }
@@ -55,11 +55,11 @@
 }
 
 func (c *Core) answerJoin(req *message.JoinRequest) joinAnswer {
-	a := joinAnswer{JoinReply: message.JoinReply{Wait: true, Leader: c.node.LeaderID()}}
+	a := joinAnswer{JoinReply: message.JoinReply{RetryLater: true, Leader: c.node.LeaderID()}}
 	if c.leader.active {
 		a.err = c.joinStep(req)
-		a.Wait = errors.Is(a.err, ErrWait)
-		if a.Wait {
+		a.RetryLater = errors.Is(a.err, ErrWait)
+		if a.RetryLater {
 			a.err = nil
 		}
 	}
--- a/control/voter/voter.go
+++ b/control/voter/voter.go
@@ -145,10 +145,10 @@
 }
 
 // Hello asks the control instance at addr who it is.
-func Hello(ctx context.Context, addr string, creds *rpc.Credentials) (*message.Greeting, error) {
+func Hello(ctx context.Context, addr string, creds *rpc.Credentials) (*message.HelloReply, error) {
 	c := rpc.NewClient(addr, creds)
 	defer c.Close()
-	g := &message.Greeting{}
+	g := &message.HelloReply{}
 	err := c.Call(ctx, "hello", stepTimeout, func(ctx context.Context, conn drpc.Conn) error {
 		f, err := control.NewDRPCControlClient(conn).Hello(ctx, &control.Frame{})
 		if err != nil {
@@ -180,7 +180,7 @@
 		return false, err
 	}
 	v.learn(&reply)
-	return !reply.Wait, nil
+	return !reply.RetryLater, nil
 }
 
 // learn notes how to reach members that this instance's own log doesn't name
--- a/control/voter/voter_test.go
+++ b/control/voter/voter_test.go
@@ -28,7 +28,7 @@
 
 // Join implements control.DRPCControlServer.
 func (l *leader) Join(context.Context, *control.Frame) (*control.Frame, error) {
-	body, err := cluster.Encode(&message.JoinReply{Wait: true, Members: l.members, Leader: 7})
+	body, err := cluster.Encode(&message.JoinReply{RetryLater: true, Members: l.members, Leader: 7})
 	return &control.Frame{Body: body}, err
 }
 
--- a/coordination/message/message.go
+++ b/coordination/message/message.go
@@ -11,8 +11,8 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-// Greeting answers a Hello call with the identity of a control instance.
-type Greeting struct {
+// HelloReply answers a Hello call with the identity of a control instance.
+type HelloReply struct {
 	Node quorum.NodeID `cbor:"1,keyasint"`
 	Name string        `cbor:"2,keyasint"`
 	// LastIndex is the index of the last entry of its log.
@@ -28,15 +28,15 @@
 
 // JoinReply answers a JoinRequest.
 type JoinReply struct {
-	// Wait asks the sender to send the request again later.
-	Wait    bool           `cbor:"1,keyasint,omitempty"`
-	Members quorum.Members `cbor:"2,keyasint"`
+	// RetryLater asks the sender to send the request again later.
+	RetryLater bool           `cbor:"1,keyasint,omitempty"`
+	Members    quorum.Members `cbor:"2,keyasint"`
 	// Leader is the member to ask next, zero if none is known.
 	Leader quorum.NodeID `cbor:"3,keyasint,omitempty"`
 }
 
-// Registered answers a Register call.
-type Registered struct {
+// RegisterReply answers a Register call.
+type RegisterReply struct {
 	ID catkinrail.InstanceID `cbor:"1,keyasint"`
 }
 
@@ -45,8 +45,8 @@
 	ID catkinrail.InstanceID `cbor:"1,keyasint"`
 	// Term is the highest term that the instance has seen.
 	Term uint64 `cbor:"2,keyasint,omitempty"`
-	// Have is the version of the state that the instance has.
-	Have uint64 `cbor:"3,keyasint,omitempty"`
+	// StateVersion is the version of the state that the instance has.
+	StateVersion uint64 `cbor:"3,keyasint,omitempty"`
 	// Synced is the version of the view for which it has handed over its records.
 	Synced uint64 `cbor:"4,keyasint,omitempty"`
 	// Busy holds, by move, why moves can't settle yet.
@@ -91,26 +91,26 @@
 	Unregistered bool `cbor:"5,keyasint,omitempty"`
 }
 
-// ReadMark answers a ReadIndex call. Index is that of the entry that an instance
+// ReadIndexReply answers a ReadIndex call. Index is that of the entry that an instance
 // must have applied before it answers a read that began before the call.
-type ReadMark struct {
+type ReadIndexReply struct {
 	Index uint64 `cbor:"1,keyasint"`
 }
 
-// Pulse renews the report of an incarnation that the receiver already knows, without
+// Renewal renews the report of an incarnation that the receiver already knows, without
 // repeating it.
-type Pulse struct {
-	Name     string `cbor:"1,keyasint"`
-	Born     int64  `cbor:"2,keyasint"`
-	Sequence uint64 `cbor:"3,keyasint"`
-	Draining bool   `cbor:"4,keyasint,omitempty"`
+type Renewal struct {
+	Name      string `cbor:"1,keyasint"`
+	StartedAt int64  `cbor:"2,keyasint"`
+	Sequence  uint64 `cbor:"3,keyasint"`
+	Draining  bool   `cbor:"4,keyasint,omitempty"`
 }
 
 // Gossip carries what a control instance knows about backend servers to another.
 type Gossip struct {
 	// Changed holds incarnations whose state has changed.
-	Changed []catkinrail.Incarnation `cbor:"1,keyasint,omitempty"`
-	Pulses  []Pulse                  `cbor:"2,keyasint,omitempty"`
+	Changed  []catkinrail.Incarnation `cbor:"1,keyasint,omitempty"`
+	Renewals []Renewal                `cbor:"2,keyasint,omitempty"`
 	// Digest is a hash of the sender's directory; zero means no comparison.
 	Digest uint64 `cbor:"3,keyasint,omitempty"`
 	// Full is set if Changed is the sender's whole directory. It asks for the
--- a/coordination/token/update.go
+++ b/coordination/token/update.go
@@ -63,7 +63,7 @@
 		if b != nil && in.ended(&b.Incarnation) {
 			continue
 		}
-		if b == nil || b.Born != in.Born {
+		if b == nil || b.StartedAt != in.StartedAt {
 			// The flows of an earlier life have ended with it.
 			b = &Backend{}
 			e.backends[in.Name] = b
@@ -80,8 +80,8 @@
 
 // ended reports whether known says that the life which in tells of is over.
 func (in *Followed) ended(known *catkinrail.Incarnation) bool {
-	if in.Born != known.Born {
-		return in.Born < known.Born
+	if in.StartedAt != known.StartedAt {
+		return in.StartedAt < known.StartedAt
 	}
 	return known.Gone && !in.Gone
 }
@@ -113,7 +113,7 @@
 		if b.Gone {
 			since = b.ended
 		}
-		if (b.Gone || b.silent) && now-since > int64(catkinrail.KeepEnded) {
+		if (b.Gone || b.silent) && now-since > int64(catkinrail.EndedRetention) {
 			delete(e.backends, name)
 		}
 	}
@@ -137,7 +137,7 @@
 			}
 			return -1
 		}
-		return cmp.Or(cmp.Compare(a.Born, b.Born), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), cmp.Compare(a.Name, b.Name))
 	})
 	clear(e.tokens)
 	clear(e.services)
--- a/routing.go
+++ b/routing.go
@@ -89,8 +89,8 @@
 	State       BackendState     `cbor:"7,keyasint,omitempty"`
 	// Weight scales the backend server's share of buckets, in percent.
 	Weight uint32 `cbor:"8,keyasint"`
-	// Full is the weight that the backend server has once it has warmed up.
-	Full uint32 `cbor:"11,keyasint,omitempty"`
+	// FullWeight is the weight that the backend server has once it has warmed up.
+	FullWeight uint32 `cbor:"11,keyasint,omitempty"`
 	// Drained is set while an operator's drain is in force; only an operator can
 	// end it.
 	Drained bool `cbor:"9,keyasint,omitempty"`
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -47,9 +47,9 @@
 	return parseWith(file, b, cfg, yaml.Strict())
 }
 
-// ParseOpen is like Parse, but ignores keys that cfg doesn't know, for formats that
+// ParseLenient is like Parse, but ignores keys that cfg doesn't know, for formats that
 // may gain keys.
-func ParseOpen(file string, b []byte, cfg Section) error {
+func ParseLenient(file string, b []byte, cfg Section) error {
 	return parseWith(file, b, cfg)
 }
 
--- a/token.go
+++ b/token.go
@@ -51,9 +51,9 @@
 	Name string `cbor:"1,keyasint"`
 	// Identity is the number that packets to the incarnation are addressed with.
 	Identity uint64 `cbor:"2,keyasint"`
-	// Born is the time at which the incarnation started, in Unix milliseconds. It
+	// StartedAt is the time at which the incarnation started, in Unix milliseconds. It
 	// orders the incarnations of one name and those of one address.
-	Born int64 `cbor:"3,keyasint"`
+	StartedAt int64 `cbor:"3,keyasint"`
 	// Sequence orders the reports of one incarnation.
 	Sequence uint64         `cbor:"4,keyasint"`
 	Service  string         `cbor:"5,keyasint"`
@@ -81,8 +81,8 @@
 
 // Newer reports whether i supersedes o, which was reported under the same name.
 func (i *Incarnation) Newer(o *Incarnation) bool {
-	if i.Born != o.Born {
-		return i.Born > o.Born
+	if i.StartedAt != o.StartedAt {
+		return i.StartedAt > o.StartedAt
 	}
 	if i.Gone != o.Gone {
 		return i.Gone
@@ -93,9 +93,9 @@
 	return i.Draining && !o.Draining
 }
 
-// KeepEnded is how long incarnations that have ended or are silent are retained. It
+// EndedRetention is how long incarnations that have ended or are silent are retained. It
 // exceeds the age of any flow whose packets may still carry their token.
-const KeepEnded = 10 * time.Minute
+const EndedRetention = 10 * time.Minute
 
 // BackendRegistry receives the reports of backend servers.
 type BackendRegistry interface {
