--- a/control/core/document_test.go
+++ b/control/core/document_test.go
@@ -15,7 +15,7 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-var noLease = quorum.Timing{Heartbeat: quorum.DefaultTiming.Heartbeat, Election: quorum.DefaultTiming.Election, NoLease: true}
+var noLease = quorum.Timing{HeartbeatInterval: quorum.DefaultTiming.HeartbeatInterval, ElectionTimeout: quorum.DefaultTiming.ElectionTimeout, NoLease: true}
 
 func doc(version uint64, source string) *catkinrail.Document {
 	return &catkinrail.Document{Version: version, Source: []byte(source)}
--- a/control/core/leader.go
+++ b/control/core/leader.go
@@ -368,14 +368,14 @@
 func (c *Core) status() *Status {
 	now := c.now()
 	s := &Status{
-		Term: c.node.Term(), Commit: c.node.Commit(), Node: c.node.ID(), Members: c.node.Members(),
+		Term: c.node.Term(), Commit: c.node.CommitIndex(), Node: c.node.ID(), Members: c.node.Members(),
 		Match: map[quorum.NodeID]uint64{}, Leading: c.leader.active,
 		Entries: map[catkinrail.InstanceID]EntryStatus{},
 		Burn:    map[catkinrail.ServiceID][]burn.Report{},
 	}
 	s.Leader = s.Members.Nodes[c.node.LeaderID()].Name
 	for id := range s.Members.Nodes {
-		s.Match[id] = c.node.Match(id)
+		s.Match[id] = c.node.MatchIndex(id)
 	}
 	s.Match[c.node.ID()] = c.node.LastIndex()
 	for id, e := range c.leader.members {
--- a/control/core/members.go
+++ b/control/core/members.go
@@ -81,13 +81,13 @@
 		next.Learners[req.Node] = true
 	case namesake(m, req) != 0:
 		old := namesake(m, req)
-		if m.Voter(old) && c.node.Match(req.Node)+promoteGap < c.node.LastIndex() {
+		if m.Voter(old) && c.node.MatchIndex(req.Node)+promoteGap < c.node.LastIndex() {
 			return ErrWait
 		}
 		delete(next.Nodes, old)
 		delete(next.Learners, old)
 	default:
-		if c.node.Match(req.Node)+promoteGap < c.node.LastIndex() {
+		if c.node.MatchIndex(req.Node)+promoteGap < c.node.LastIndex() {
 			return ErrWait
 		}
 		delete(next.Learners, req.Node)
--- a/control/follow/feed_test.go
+++ b/control/follow/feed_test.go
@@ -51,9 +51,9 @@
 				if fr == nil {
 					return last
 				}
-				var list []token.Followed
+				var list []token.FollowedBackend
 				for _, b := range decode(t, fr.body).Backends {
-					list = append(list, token.Followed{Incarnation: b.Incarnation, Silent: b.Silent})
+					list = append(list, token.FollowedBackend{Incarnation: b.Incarnation, Silent: b.Silent})
 				}
 				engines[i].Update(list, now)
 				at[i], last = fr.to, fr
--- a/control/gossip/gossip.go
+++ b/control/gossip/gossip.go
@@ -144,7 +144,7 @@
 	d.merge(g.Changed, "gossip", now)
 	r := &message.GossipReply{}
 	for _, p := range g.Renewals {
-		if !d.dir.Pulse(p.Name, p.StartedAt, p.Sequence, p.Draining, now) {
+		if !d.dir.Renew(p.Name, p.StartedAt, p.Sequence, p.Draining, now) {
 			r.Differs = true
 		}
 	}
@@ -228,7 +228,7 @@
 	now := d.now()
 	if held := now - d.ticked; d.ticked != 0 && held > int64(stallTime) {
 		d.cfg.Log.Info().Int64("held-ms", held/1e6).Msg("process was held up")
-		d.dir.Shift(held)
+		d.dir.CompensatePause(held)
 	}
 	d.ticked = now
 	if d.partial() {
--- a/control/gossip/peer.go
+++ b/control/gossip/peer.go
@@ -125,7 +125,7 @@
 	if p.full {
 		g.Full, g.Changed = true, d.dir.All(now)
 	} else {
-		changed, renewed := d.dir.Heard(p.sent, now)
+		changed, renewed := d.dir.LocalSince(p.sent, now)
 		g.Changed = changed
 		for i := range renewed {
 			r := &renewed[i]
--- a/control/voter/voter_test.go
+++ b/control/voter/voter_test.go
@@ -69,7 +69,7 @@
 	done, err := v.Join(ctx, addr, &message.JoinRequest{Node: 9, Peer: quorum.Peer{Name: "new"}})
 	require.NoError(t, err)
 	require.False(t, done)
-	require.Equal(t, addr, v.Leader())
+	require.Equal(t, addr, v.LeaderAddr())
 	v.Send(answer, none)
 	require.Equal(t, answer[0], <-l.steps)
 	cancel()
--- a/state/directory/directory.go
+++ b/state/directory/directory.go
@@ -176,9 +176,9 @@
 	return Changed
 }
 
-// Pulse takes a renewal that another instance passes on. It returns false if it
+// Renew takes a renewal that another instance passes on. It returns false if it
 // doesn't renew what is known here, so that the whole report must be told.
-func (d *Directory) Pulse(name string, born int64, sequence uint64, draining bool, now int64) bool {
+func (d *Directory) Renew(name string, born int64, sequence uint64, draining bool, now int64) bool {
 	e := d.entries[name]
 	if e == nil || e.inc.StartedAt < born {
 		return false
@@ -221,9 +221,9 @@
 	return silent
 }
 
-// Shift moves the time of every report by the span for which this instance could
+// CompensatePause moves the time of every report by the span for which this instance could
 // not hear any.
-func (d *Directory) Shift(span int64) {
+func (d *Directory) CompensatePause(span int64) {
 	for _, e := range d.entries {
 		e.heard += span
 	}
@@ -246,12 +246,12 @@
 type View struct {
 	catkinrail.Incarnation
 	Silent bool
-	// Heard is the time of its last report, in nanoseconds of the clock.
-	Heard int64
+	// LastReport is the time of its last report, in nanoseconds of the clock.
+	LastReport int64
 }
 
 func (e *entry) view(now int64) View {
-	v := View{Incarnation: e.inc, Silent: e.silent, Heard: e.heard}
+	v := View{Incarnation: e.inc, Silent: e.silent, LastReport: e.heard}
 	v.Warmup = time.Duration(max(0, e.warm-now))
 	return v
 }
@@ -269,9 +269,9 @@
 	return list
 }
 
-// Heard returns what backend servers said to this instance itself after a
+// LocalSince returns what backend servers said to this instance itself after a
 // revision: what has changed, and what was merely renewed.
-func (d *Directory) Heard(revision uint64, now int64) (changed []catkinrail.Incarnation, renewed []catkinrail.Incarnation) {
+func (d *Directory) LocalSince(revision uint64, now int64) (changed []catkinrail.Incarnation, renewed []catkinrail.Incarnation) {
 	for _, e := range d.entries {
 		switch {
 		case !e.local || e.pulse <= revision:
