--- a/control/core/leader.go
+++ b/control/core/leader.go
@@ -54,7 +54,7 @@
 	leaseEnd int64
 	// currentAt is the time at which the instance last had the latest version.
 	currentAt int64
-	member    plan.Member
+	member    plan.InstanceStatus
 	leaving   bool
 }
 
@@ -108,7 +108,7 @@
 	}
 	l.compensateStall(c, now)
 	l.plannedAt = now
-	members := make(map[catkinrail.InstanceID]plan.Member, len(l.instances))
+	members := make(map[catkinrail.InstanceID]plan.InstanceStatus, len(l.instances))
 	for id, e := range l.instances {
 		if c.state.Instances[id] == nil {
 			delete(l.instances, id)
@@ -171,7 +171,7 @@
 	if len(expired) > 0 {
 		return plan.Expire(c.state, expired)
 	}
-	return plan.Silence(c.state, silent)
+	return plan.EjectSilent(c.state, silent)
 }
 
 // Heartbeat handles a heartbeat of an entry instance: it renews the lease and
@@ -215,7 +215,7 @@
 		l.instances[hb.ID] = e
 	}
 	e.leaseEnd = max(e.leaseEnd, now+l.maxLease(c))
-	e.member = plan.Member{Version: hb.StateVersion, Synced: hb.Synced, Busy: hb.Busy}
+	e.member = plan.InstanceStatus{Version: hb.StateVersion, Synced: hb.Synced, Busy: hb.Busy}
 	if hb.StateVersion >= c.state.Version {
 		e.currentAt = now
 	}
@@ -224,10 +224,10 @@
 		c.enqueue(func(s *cluster.State) []cluster.Event { return plan.Leave(s, hb.ID) })
 	}
 	if hb.Left {
-		c.enqueue(func(s *cluster.State) []cluster.Event { return plan.Left(s, hb.ID) })
+		c.enqueue(func(s *cluster.State) []cluster.Event { return plan.CompleteLeave(s, hb.ID) })
 	}
 	for id, buckets := range hb.Exceptions {
-		c.enqueue(func(s *cluster.State) []cluster.Event { return plan.Exceptions(s, id, buckets) })
+		c.enqueue(func(s *cluster.State) []cluster.Event { return plan.PrepareExceptions(s, id, buckets) })
 	}
 	for i := range hb.Announcements {
 		l.recordAnnouncement(c, &hb.Announcements[i], now)
--- a/control/document/store.go
+++ b/control/document/store.go
@@ -89,7 +89,7 @@
 		return errNoLeader
 	}
 	// The body is encoded as changes in the log are.
-	body, err := cluster.EncodePacked(&cluster.Change{Events: []cluster.Event{{DocumentPut: d}}})
+	body, err := cluster.EncodeCompressed(&cluster.Change{Events: []cluster.Event{{DocumentPut: d}}})
 	if err != nil {
 		return err
 	}
--- a/coordination/plan/members.go
+++ b/coordination/plan/members.go
@@ -283,8 +283,8 @@
 	return []cluster.Event{{InstancePut: &put}}
 }
 
-// Left returns the events for an instance that has ended its graceful shutdown.
-func Left(s *cluster.State, id catkinrail.InstanceID) []cluster.Event {
+// CompleteLeave returns the events for an instance that has ended its graceful shutdown.
+func CompleteLeave(s *cluster.State, id catkinrail.InstanceID) []cluster.Event {
 	d := &draft{state: s}
 	d.lose([]catkinrail.InstanceID{id})
 	return d.events
@@ -355,9 +355,9 @@
 	d.add(cluster.Event{ViewSet: &v})
 }
 
-// Exceptions returns the events that make every instance look up the flows of
+// PrepareExceptions returns the events that make every instance look up the flows of
 // settled buckets in which a zone that was cut off placed flows elsewhere.
-func Exceptions(s *cluster.State, service catkinrail.ServiceID, buckets []uint32) []cluster.Event {
+func PrepareExceptions(s *cluster.State, service catkinrail.ServiceID, buckets []uint32) []cluster.Event {
 	svc := s.Services[service]
 	if svc == nil {
 		return nil
@@ -383,9 +383,9 @@
 	return d.events
 }
 
-// Silence returns the events that give backend servers no new flows because
+// EjectSilent returns the events that give backend servers no new flows because
 // they stopped announcing themselves. They keep the flows they have.
-func Silence(s *cluster.State, ids []catkinrail.BackendID) []cluster.Event {
+func EjectSilent(s *cluster.State, ids []catkinrail.BackendID) []cluster.Event {
 	d := &draft{state: s}
 	byService := map[catkinrail.ServiceID][]*catkinrail.Backend{}
 	for _, id := range ids {
