--- a/coordination/overload/overload.go
+++ b/coordination/overload/overload.go
@@ -1,40 +1,42 @@
-// Package overload decides when an entry instance can't keep up with what arrives
-// and turns new flows away, so that the flows which are open get through.
+// Package overload detects that an entry instance can't keep up with the packets it
+// receives and should refuse new flows to keep the open ones working.
 package overload
 
 import "time"
 
 const (
-	// patience is how long a queue may be there before new flows are turned away. A
-	// request passes the instance three times, handshake included, so that a wait of
-	// this length for each uses up the time limit of a second or more that callers
-	// have.
-	patience = 500 * time.Millisecond
-	// standstill is the time between two reads from which the process stood still
-	// rather than worked: a batch of packets takes less on the slowest machines.
-	standstill = 2 * time.Second
+	// queueGracePeriod is how long packets may be queued before new flows are refused.
+	// A request on a new flow passes through the instance three times, handshake
+	// included: with a wait of this length each time, it would exceed the timeout of a
+	// second or more that callers use.
+	queueGracePeriod = 500 * time.Millisecond
+	// stallThreshold is the time between two reads beyond which the process was stalled
+	// rather than busy: a batch of packets takes less even on the slowest machines.
+	stallThreshold = 2 * time.Second
 )
 
-// Gauge follows the queue before an instance. The zero value has none.
+// Gauge tracks how long packets have been queued in front of an instance. The zero
+// value has seen no queue.
 type Gauge struct {
-	// since is the time of the first of the reads in a row that left packets
-	// waiting; zero after one that didn't.
-	since int64
-	// last is the time of the last read.
-	last int64
+	// queuedSince is the time, in nanoseconds, of the first read in an unbroken
+	// series that left packets queued; zero if the last read left none.
+	queuedSince int64
+	// lastRead is the time of the last read, in nanoseconds.
+	lastRead int64
 }
 
-// Read notes a read at the given time, in nanoseconds, and whether it left packets
-// waiting. It reports whether new flows should be turned away. What has gathered
-// while the process stood still doesn't count: it may be gone in an instant.
-func (g *Gauge) Read(left bool, now int64) (overloaded bool) {
-	stood := now-g.last > int64(standstill)
-	g.last = now
+// Read records a read at time now, in nanoseconds, and whether it left packets
+// queued. It reports whether new flows should be refused. The time in which the
+// process was stalled doesn't count: the packets that arrived meanwhile may be
+// handled within moments.
+func (g *Gauge) Read(queued bool, now int64) (overloaded bool) {
+	stalled := now-g.lastRead > int64(stallThreshold)
+	g.lastRead = now
 	switch {
-	case !left:
-		g.since = 0
-	case g.since == 0 || stood:
-		g.since = now
+	case !queued:
+		g.queuedSince = 0
+	case g.queuedSince == 0 || stalled:
+		g.queuedSince = now
 	}
-	return g.since != 0 && now-g.since > int64(patience)
+	return g.queuedSince != 0 && now-g.queuedSince > int64(queueGracePeriod)
 }
--- a/coordination/overload/replay_test.go
+++ b/coordination/overload/replay_test.go
@@ -9,71 +9,74 @@
 	"catkinrail.example/catkinrail/coordination/overload"
 )
 
-// The replayed load: an instance that can handle three packets in ten milliseconds
-// gets twice that for four seconds.
+// The simulated load: an instance that can handle three packets in ten milliseconds
+// receives twice as many for four seconds.
 const (
-	handledIn10ms = 3
-	batch         = 64
-	loadMS        = 8000
-	surgeFrom     = 1000
-	surgeUntil    = 5000
-	// limitMS is a caller's time limit for a request, and giveUpMS the time after
-	// which it takes a flow for unanswered.
-	limitMS  = 1200
-	giveUpMS = 1400
+	packetsPer10ms = 3
+	batchSize      = 64
+	loadMS         = 8000
+	surgeFrom      = 1000
+	surgeUntil     = 5000
+	// requestTimeoutMS is a caller's timeout for a request, and openTimeoutMS the time
+	// after which an opening packet no longer opens its flow.
+	requestTimeoutMS = 1200
+	openTimeoutMS    = 1400
 	// openFlows are kept open by callers that pause for pauseMS between requests of
 	// two packets each.
 	openFlows = 50
 	pauseMS   = 500
-	// newFlowMS is the mean time between two new flows of one request, in packets
-	// shortPackets with the first. In the surge they are surgeFactor times as many.
-	newFlowMS    = 50.0
-	shortPackets = 5
-	surgeFactor  = 4
+	// newFlowIntervalMS is the mean time between two new flows. Each carries one request
+	// of shortPackets packets, the opening one included. The surge multiplies their rate
+	// by surgeFactor.
+	newFlowIntervalMS = 50.0
+	shortPackets      = 5
+	surgeFactor       = 4
 )
 
-// exchange is a request, or the opening of a flow with one.
-type exchange struct {
-	began  int
-	left   int
-	isOpen bool
+// request is a request on an open flow, or a new flow with its only request.
+type request struct {
+	startedAt   int
+	packetsLeft int
+	onOpenFlow  bool
 }
 
-// queued is a packet before the instance.
-type queued struct {
-	x *exchange
-	// copy numbers the opening packets of a flow from one, and is zero for others.
+// packet is a packet queued in front of the instance.
+type packet struct {
+	req *request
+	// copy numbers a flow's opening packet and its retransmissions from one; it is zero
+	// for other packets.
 	copy int
 }
 
-// served counts requests that were answered in time.
-type served struct{ open, short, of int }
+// results counts the requests that were answered in time, and all requests.
+type results struct{ onOpenFlows, onNewFlows, total int }
 
-// replay runs the load, turning new flows away if the gauge is to be used.
-func replay(useGauge bool) served {
+// replay simulates the load. With shed set, new flows are refused while the gauge
+// reports overload.
+func replay(shed bool) results {
 	rng := rand.New(rand.NewPCG(1, 1))
-	var s served
-	var queue []queued
-	later := map[int][]func(){}
+	var res results
+	var queue []packet
+	timers := map[int][]func(){}
 	now := 0
-	var ask func()
-	ask = func() {
-		s.of++
-		queue = append(queue, queued{x: &exchange{began: now, left: 2, isOpen: true}})
+	var sendRequest func()
+	sendRequest = func() {
+		res.total++
+		queue = append(queue, packet{req: &request{startedAt: now, packetsLeft: 2, onOpenFlow: true}})
 		next := now + pauseMS/2 + rng.IntN(pauseMS)
-		later[next] = append(later[next], ask)
+		timers[next] = append(timers[next], sendRequest)
 	}
 	for i := range openFlows {
 		at := 1 + i*pauseMS/openFlows
-		later[at] = append(later[at], ask)
+		timers[at] = append(timers[at], sendRequest)
 	}
-	begin := func() {
-		s.of++
-		x := &exchange{began: now, left: shortPackets}
+	openFlow := func() {
+		res.total++
+		req := &request{startedAt: now, packetsLeft: shortPackets}
 		for i, after := range []int{0, 200, 600} {
-			later[now+after] = append(later[now+after], func() {
-				if x.left == shortPackets {
-					queue = append(queue, queued{x, i + 1})
+			timers[now+after] = append(timers[now+after], func() {
+				if req.packetsLeft == shortPackets {
+					queue = append(queue, packet{req, i + 1})
 				}
 			})
 		}
@@ -81,56 +84,56 @@
 	var gauge overload.Gauge
 	budget := 0.0
 	for now = 1; now < loadMS; now++ {
-		for _, f := range later[now] {
+		for _, f := range timers[now] {
 			f()
 		}
-		rate := 1 / newFlowMS
+		rate := 1 / newFlowIntervalMS
 		if now >= surgeFrom && now < surgeUntil {
 			rate *= surgeFactor
 		}
 		if rng.Float64() < rate {
-			begin()
+			openFlow()
 		}
 		if now%10 != 0 {
 			continue
 		}
-		overloaded := gauge.Read(len(queue) >= batch, int64(now)*ms)
-		for budget += handledIn10ms; budget >= 1 && len(queue) > 0; {
+		overloaded := gauge.Read(len(queue) >= batchSize, int64(now)*ms)
+		for budget += packetsPer10ms; budget >= 1 && len(queue) > 0; {
 			p := queue[0]
 			queue = queue[1:]
-			x := p.x
-			if useGauge && overloaded && p.copy > 0 && x.left == shortPackets {
-				// Turned away without the work of placing it.
+			req := p.req
+			if shed && overloaded && p.copy > 0 && req.packetsLeft == shortPackets {
+				// Refusing a flow costs a fraction of the work of placing it.
 				budget -= 0.2
-				x.left = 0
+				req.packetsLeft = 0
 				continue
 			}
 			budget--
-			late := now-x.began > limitMS
-			if (p.copy > 0 && (x.left != shortPackets || now-x.began > giveUpMS)) || late || x.left == 0 {
+			late := now-req.startedAt > requestTimeoutMS
+			if (p.copy > 0 && (req.packetsLeft != shortPackets || now-req.startedAt > openTimeoutMS)) || late || req.packetsLeft == 0 {
 				continue
 			}
-			x.left--
+			req.packetsLeft--
 			switch {
-			case x.left > 0:
-				queue = append(queue, queued{x: x})
-			case x.isOpen:
-				s.open++
+			case req.packetsLeft > 0:
+				queue = append(queue, packet{req: req})
+			case req.onOpenFlow:
+				res.onOpenFlows++
 			default:
-				s.short++
+				res.onNewFlows++
 			}
 		}
-		budget = min(budget, handledIn10ms)
+		budget = min(budget, packetsPer10ms)
 	}
-	return s
+	return res
 }
 
-// TestSurge replays a surge of new flows: with new flows turned away, more requests
-// are answered in time than without, and on open flows many more.
+// TestSurge simulates a surge of new flows. Refusing new flows must let more requests
+// be answered in time, on open flows and altogether.
 func TestSurge(t *testing.T) {
 	without, with := replay(false), replay(true)
-	t.Logf("in time, of %d requests: on open flows %d, others %d; with new flows turned away: %d, %d",
-		with.of, without.open, without.short, with.open, with.short)
-	require.Greater(t, with.open, without.open)
-	require.Greater(t, with.open+with.short, without.open+without.short)
+	t.Logf("answered in time, of %d requests: %d on open flows, %d on new flows; when shedding new flows: %d, %d",
+		with.total, without.onOpenFlows, without.onNewFlows, with.onOpenFlows, with.onNewFlows)
+	require.Greater(t, with.onOpenFlows, without.onOpenFlows)
+	require.Greater(t, with.onOpenFlows+with.onNewFlows, without.onOpenFlows+without.onNewFlows)
 }
