--- a/coordination/plan/planner.go
+++ b/coordination/plan/planner.go
@@ -437,7 +437,7 @@
 	s := d.state
 	for _, name := range cluster.SortedKeys(s.Quarantine) {
 		if p.inForce(s, s.Quarantine[name], p.allZones(s)) {
-			d.add(cluster.Event{Released: name})
+			d.add(cluster.Event{QuarantineEnded: name})
 		}
 	}
 }
--- a/state/cluster/codec.go
+++ b/state/cluster/codec.go
@@ -9,7 +9,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Limits of decoded documents, above the sizes of the planned deployment.
+// Limits on the arrays and maps in decoded CBOR, above the sizes of the planned
+// deployment.
 const (
 	maxArray = 1 << 20
 	maxPairs = 1 << 18
@@ -49,7 +50,7 @@
 	return b, nil
 }
 
-// Decode reads the CBOR document b into v.
+// Decode decodes the CBOR encoding b into v.
 func Decode(b []byte, v any) error {
 	if err := decMode.Unmarshal(b, v); err != nil {
 		return fmt.Errorf("decode %T: %w", v, err)
@@ -73,45 +74,46 @@
 	return c, nil
 }
 
-// Packing of large documents, which repeat themselves much.
+// Compression of large encodings, which contain many repetitions.
 const (
-	// packedMark begins a packed document; no CBOR map begins with it.
-	packedMark = 0x00
-	// packFrom is the size in bytes from which a document is packed.
-	packFrom = 512
-	// maxUnpacked bounds a document in bytes once unpacked.
-	maxUnpacked = 64 << 20
+	// compressedMark is the first byte of a compressed encoding; no CBOR map begins
+	// with it.
+	compressedMark = 0x00
+	// minCompressSize is the size in bytes from which an encoding is compressed.
+	minCompressSize = 512
+	// maxDecompressed limits the size in bytes of a decompressed encoding.
+	maxDecompressed = 64 << 20
 )
 
 // EncodePacked returns the encoding of v, compressed if it is large.
 func EncodePacked(v any) ([]byte, error) {
 	b, err := Encode(v)
-	if err != nil || len(b) < packFrom {
+	if err != nil || len(b) < minCompressSize {
 		return b, err
 	}
 	var out bytes.Buffer
-	out.WriteByte(packedMark)
+	out.WriteByte(compressedMark)
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
 	if err != nil {
-		return nil, fmt.Errorf("pack %T: %w", v, err)
+		return nil, fmt.Errorf("compress %T: %w", v, err)
 	}
 	if _, err := w.Write(b); err != nil {
-		return nil, fmt.Errorf("pack %T: %w", v, err)
+		return nil, fmt.Errorf("compress %T: %w", v, err)
 	}
 	if err := w.Close(); err != nil {
-		return nil, fmt.Errorf("pack %T: %w", v, err)
+		return nil, fmt.Errorf("compress %T: %w", v, err)
 	}
 	return out.Bytes(), nil
 }
 
-// DecodePacked reads what EncodePacked has written.
+// DecodePacked decodes the output of EncodePacked into v.
 func DecodePacked(b []byte, v any) error {
-	if len(b) == 0 || b[0] != packedMark {
+	if len(b) == 0 || b[0] != compressedMark {
 		return Decode(b, v)
 	}
-	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b[1:])), maxUnpacked))
+	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b[1:])), maxDecompressed))
 	if err != nil {
-		return fmt.Errorf("unpack %T: %w", v, err)
+		return fmt.Errorf("decompress %T: %w", v, err)
 	}
 	return Decode(plain, v)
 }
--- a/state/cluster/codec_test.go
+++ b/state/cluster/codec_test.go
@@ -10,7 +10,7 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-func sample() cluster.Change {
+func sampleChange() cluster.Change {
 	cfg := catkinrail.ServiceConfig{Name: "logbook", Addr: netip.MustParseAddrPort("192.0.2.1:443")}
 	cfg.SetDefaults()
 	return cluster.Change{Version: 1, Events: []cluster.Event{
@@ -23,7 +23,7 @@
 
 func TestStateRoundTrip(t *testing.T) {
 	s := cluster.New()
-	require.NoError(t, s.Apply(sample()))
+	require.NoError(t, s.Apply(sampleChange()))
 	b, err := cluster.Encode(s)
 	require.NoError(t, err)
 	got := cluster.New()
@@ -36,7 +36,7 @@
 
 // FuzzDecode decodes arbitrary changes and applies them.
 func FuzzDecode(f *testing.F) {
-	b, err := cluster.Encode(sample())
+	b, err := cluster.Encode(sampleChange())
 	require.NoError(f, err)
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -47,7 +47,7 @@
 		c.Version = 1
 		s := cluster.New()
 		if s.Apply(c) != nil {
-			require.Equal(t, cluster.New(), s, "a refused change leaves the state as it was")
+			require.Equal(t, cluster.New(), s, "a refused change leaves the state unchanged")
 			return
 		}
 		_, err := cluster.Encode(s)
--- a/state/cluster/event.go
+++ b/state/cluster/event.go
@@ -1,4 +1,4 @@
-// Package cluster keeps the state that control instances agree on and entry
+// Package cluster holds the state that control instances agree on and entry
 // instances follow: services with their bucket tables, backend servers, entry
 // instances and the replica view.
 package cluster
@@ -7,8 +7,8 @@
 
 // Event is one change of the state. Exactly one field is set.
 //
-// Events carry results, not inputs: two releases of the program that disagree
-// about how to compute a table still hold the same one.
+// Events carry results, not inputs, so that releases that compute a table
+// differently still hold the same state.
 type Event struct {
 	ServicePut     *ServicePut          `cbor:"1,keyasint,omitempty"`
 	ServiceDeleted catkinrail.ServiceID `cbor:"2,keyasint,omitempty"`
@@ -16,16 +16,17 @@
 	BackendRemoved catkinrail.BackendID `cbor:"4,keyasint,omitempty"`
 	BucketsSet     *BucketsSet          `cbor:"5,keyasint,omitempty"`
 	InstancePut    *catkinrail.Instance `cbor:"6,keyasint,omitempty"`
-	// InstanceRemoved names an entry instance that left or was lost.
+	// InstanceRemoved is an entry instance that left, was lost or was replaced by a
+	// new incarnation.
 	InstanceRemoved catkinrail.InstanceID `cbor:"7,keyasint,omitempty"`
 	ViewSet         *catkinrail.View      `cbor:"8,keyasint,omitempty"`
 	MovePut         *catkinrail.Move      `cbor:"9,keyasint,omitempty"`
 	MoveRemoved     uint64                `cbor:"10,keyasint,omitempty"`
 	Answer          *Answer               `cbor:"11,keyasint,omitempty"`
 	ZoneLost        *ZoneLost             `cbor:"12,keyasint,omitempty"`
-	// Released names an endpoint whose quarantine has ended.
-	Released string `cbor:"13,keyasint,omitempty"`
-	// DocumentPut replaces the operators' document.
+	// QuarantineEnded is the name of an endpoint whose quarantine has ended.
+	QuarantineEnded string `cbor:"13,keyasint,omitempty"`
+	// DocumentPut replaces the operator's document.
 	DocumentPut *catkinrail.Document `cbor:"14,keyasint,omitempty"`
 }
 
@@ -43,19 +44,18 @@
 	Buckets []uint16             `cbor:"3,keyasint"`
 }
 
-// Answer is the result of an operator's request, kept so that a request that
-// is sent again gets the first answer.
+// Answer is the result of an operator's request, kept so that a retry of the
+// request gets the same answer.
 type Answer struct {
 	Request string `cbor:"1,keyasint"`
-	// Digest is a hash of the command, so that one identifier can't stand for
-	// two commands.
+	// Digest is a hash of the command. It detects that an identifier is reused for
+	// another command. Zero marks a request that was reported as not run.
 	Digest  uint64 `cbor:"2,keyasint"`
 	Version uint64 `cbor:"3,keyasint"`
 	Detail  string `cbor:"4,keyasint,omitempty"`
 }
 
-// ZoneLost records that an operator declared an availability zone lost, or
-// took that back.
+// ZoneLost records that an operator declared an availability zone lost or restored.
 type ZoneLost struct {
 	Zone catkinrail.Zone `cbor:"1,keyasint"`
 	Lost bool            `cbor:"2,keyasint"`
--- a/state/cluster/size_test.go
+++ b/state/cluster/size_test.go
@@ -9,8 +9,9 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-// TestViewSize bounds the size of a view at the planned size by what a node may
-// spend on control in a second: a change of view goes to every node.
+// TestViewSize checks that the view of the planned deployment stays within the
+// control traffic that an entry instance may cause in a second: a change of view is
+// sent to every entry instance.
 func TestViewSize(t *testing.T) {
 	const members, maxBytes = 940, 30_000
 	v := catkinrail.View{Version: 1 << 40, Zones: map[catkinrail.InstanceID]catkinrail.Zone{}}
@@ -23,5 +24,5 @@
 	b, err := cluster.Encode(&v)
 	require.NoError(t, err)
 	require.Less(t, len(b), maxBytes)
-	t.Logf("%d bytes, %.1f a member", len(b), float64(len(b))/members)
+	t.Logf("%d bytes, %.1f per member", len(b), float64(len(b))/members)
 }
--- a/state/cluster/state.go
+++ b/state/cluster/state.go
@@ -8,10 +8,10 @@
 	"catkinrail.example/catkinrail"
 )
 
-// maxAnswers is the number of operators' answers that are remembered.
+// maxAnswers limits the answers to operators that are kept.
 const maxAnswers = 8192
 
-// State is the agreed state at one version.
+// State is the state that control instances agree on, at one version.
 type State struct {
 	Version   uint64                                         `cbor:"1,keyasint"`
 	Services  map[catkinrail.ServiceID]*catkinrail.Service   `cbor:"2,keyasint"`
@@ -21,15 +21,15 @@
 	Moves     map[uint64]*catkinrail.Move                    `cbor:"6,keyasint"`
 	// Answers is ordered by age, oldest first.
 	Answers []Answer `cbor:"7,keyasint,omitempty"`
-	// The last identifiers that were given out.
+	// The highest identifiers assigned so far.
 	LastService  catkinrail.ServiceID     `cbor:"8,keyasint,omitempty"`
 	LastBackend  catkinrail.BackendID     `cbor:"9,keyasint,omitempty"`
 	LastInstance catkinrail.InstanceID    `cbor:"10,keyasint,omitempty"`
 	LostZones    map[catkinrail.Zone]bool `cbor:"11,keyasint,omitempty"`
-	// Quarantine gives, for the endpoint of a deleted service, the version of
-	// its deletion.
+	// Quarantine maps the endpoint of each deleted service to the version of the
+	// deletion. No service may be created there until the quarantine ends.
 	Quarantine map[string]uint64 `cbor:"12,keyasint,omitempty"`
-	// Document is the operators' document, nil before the first. It is never
+	// Document is the operator's document, nil before the first. It is never
 	// changed in place.
 	Document *catkinrail.Document `cbor:"13,keyasint,omitempty"`
 }
@@ -41,7 +41,7 @@
 	return s
 }
 
-// ensureMaps makes the maps that a decoded snapshot left nil.
+// ensureMaps creates the maps that are nil after decoding.
 func (s *State) ensureMaps() {
 	if s.Services == nil {
 		s.Services = map[catkinrail.ServiceID]*catkinrail.Service{}
@@ -73,9 +73,9 @@
 	return fmt.Sprintf("change to version %d does not follow version %d", e.Got, e.Have)
 }
 
-// Apply brings the state to the version of c. A change that isn't the next one
-// is refused with a GapError, and one with a wrong service configuration with
-// its FieldErrors; the state then stays as it was.
+// Apply brings the state to the version of c. It returns a GapError if c is not the
+// next change, and the FieldErrors of an invalid service configuration; the state is
+// then unchanged.
 func (s *State) Apply(c Change) error {
 	if c.Version != s.Version+1 {
 		return &GapError{Have: s.Version, Got: c.Version}
@@ -125,8 +125,8 @@
 		s.addAnswer(*e.Answer)
 	case e.ZoneLost != nil:
 		s.setZoneLost(e.ZoneLost)
-	case e.Released != "":
-		delete(s.Quarantine, e.Released)
+	case e.QuarantineEnded != "":
+		delete(s.Quarantine, e.QuarantineEnded)
 	case e.DocumentPut != nil:
 		s.Document = e.DocumentPut
 	}
