--- a/coordination/plan/assign.go
+++ b/coordination/plan/assign.go
@@ -1,6 +1,6 @@
-// Package plan decides how the agreed state changes: what operators' commands
-// and backend servers' announcements do to it, and when a move or a change of
-// view may take its next step. Its functions are pure; they return events.
+// Package plan decides how the cluster state changes: it evaluates operators'
+// commands and backend servers' announcements, and decides when a move or a change of
+// view may take its next step. Its functions return events and never modify the state.
 package plan
 
 import (
@@ -10,7 +10,7 @@
 	"catkinrail.example/catkinrail"
 )
 
-// share is the number of buckets that a slot should own.
+// share is the number of buckets that a slot should own (want) and owns (have).
 type share struct {
 	slot   catkinrail.SlotID
 	weight uint64
@@ -18,8 +18,8 @@
 	have   int
 }
 
-// shares divides n buckets over the active slots by weight, with the largest
-// remainders rounded up.
+// shares divides n buckets among the slots of active backend servers by weight. The
+// largest remainders are rounded up.
 func shares(backends []*catkinrail.Backend, n int) []share {
 	var list []share
 	total := uint64(0)
@@ -43,8 +43,8 @@
 		order[i] = i
 	}
 	remainder := func(i int) uint64 { return uint64(n) * list[i].weight % total }
-	// The first slots of all backend servers come before the second ones, so
-	// that rounding spreads over the backend servers.
+	// Among equal remainders, the first slots of all backend servers come before the
+	// second ones, so that rounding up is spread over the backend servers.
 	slices.SortStableFunc(order, func(a, b int) int {
 		if c := cmp.Compare(remainder(b), remainder(a)); c != 0 {
 			return c
@@ -58,15 +58,15 @@
 	return list
 }
 
-// Reassignment moves one bucket to another owner.
+// Reassignment gives one bucket another owner.
 type Reassignment struct {
 	Bucket int
 	Owner  catkinrail.SlotID
 }
 
-// Rebalance returns the fewest reassignments that give every active slot its
-// share of the buckets. Of the buckets that a slot must give up, those that
-// return to their current slot go first.
+// Rebalance returns the fewest reassignments that give every active slot its share of
+// the buckets. A slot gives up moving buckets before settled ones, and freed buckets
+// return to their current slot if it lacks some.
 func Rebalance(buckets []catkinrail.Bucket, backends []*catkinrail.Backend) []Reassignment {
 	list := shares(backends, len(buckets))
 	if len(list) == 0 {
@@ -77,11 +77,11 @@
 		index[list[i].slot] = i
 	}
 	free := surplus(buckets, list, index)
-	return fill(buckets, list, index, free)
+	return assignFree(buckets, list, index, free)
 }
 
-// surplus returns the buckets whose owner is inactive or has more than its
-// share, spread evenly over the table.
+// surplus returns, in order, the buckets whose owner is inactive and those that
+// owners have beyond their share.
 func surplus(buckets []catkinrail.Bucket, list []share, index map[catkinrail.SlotID]int) []int {
 	var free []int
 	owned := make([][]int, len(list))
@@ -99,7 +99,7 @@
 		if over <= 0 {
 			continue
 		}
-		// A bucket that is on its way anyway costs less to move than a settled one.
+		// A bucket that is already moving costs less to reassign than a settled one.
 		slices.SortStableFunc(owned[i], func(a, b int) int {
 			return cmp.Compare(buckets[b].Phase, buckets[a].Phase)
 		})
@@ -110,8 +110,9 @@
 	return free
 }
 
-// fill gives the free buckets to the slots that lack some.
-func fill(buckets []catkinrail.Bucket, list []share, index map[catkinrail.SlotID]int, free []int) []Reassignment {
+// assignFree gives the free buckets to slots that have less than their share: moving
+// ones to their current slot where possible, the rest in turn.
+func assignFree(buckets []catkinrail.Bucket, list []share, index map[catkinrail.SlotID]int, free []int) []Reassignment {
 	var out []Reassignment
 	var rest []int
 	for _, n := range free {
--- a/coordination/plan/command.go
+++ b/coordination/plan/command.go
@@ -11,7 +11,7 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-// Errors of commands. Each means that the command had no effect.
+// Errors returned by commands. Each means that the command had no effect.
 var (
 	ErrConflict   = errors.New("version conflict")
 	ErrExists     = errors.New("already exists")
@@ -25,9 +25,9 @@
 
 // Command is an operator's command. Exactly one of the pointers is set.
 type Command struct {
-	// Request identifies the command; sending it again gives the first answer.
+	// Request identifies the command; a retry with it returns the first answer.
 	Request string `cbor:"1,keyasint"`
-	// Expect is the version that the command was made against, or zero.
+	// Expect is the version of the state that the command requires; zero for any.
 	Expect  uint64                    `cbor:"2,keyasint,omitempty"`
 	Create  *catkinrail.ServiceConfig `cbor:"3,keyasint,omitempty"`
 	Change  *catkinrail.ServiceConfig `cbor:"4,keyasint,omitempty"`
@@ -39,13 +39,14 @@
 	Zone   *cluster.ZoneLost `cbor:"9,keyasint,omitempty"`
 }
 
-// BackendRef names a backend server of a service.
+// BackendRef refers to a backend server of a service by name.
 type BackendRef struct {
 	Service string `cbor:"1,keyasint"`
 	Name    string `cbor:"2,keyasint"`
 }
 
-// digest identifies the contents of the command.
+// digest returns a hash of the command without its request identifier. It is never
+// notRunDigest.
 func (c *Command) digest() (uint64, error) {
 	plain := *c
 	plain.Request = ""
@@ -53,26 +54,26 @@
 	if err != nil {
 		return 0, err
 	}
-	return max(xxh3.Hash(b), voidDigest+1), nil
+	return max(xxh3.Hash(b), notRunDigest+1), nil
 }
 
-// voidDigest marks the answer of a request that was reported as not run.
-const voidDigest = 0
+// notRunDigest is the digest in the answer to a request that was reported as not run.
+const notRunDigest = 0
 
-// Outcome returns the answer to a request, and whether it ran. For one that
-// didn't, it returns the events that keep it from ever running, so that a copy
-// of the request that is still on its way can't prove the report wrong.
+// Outcome returns the answer to a request, and whether the request ran. If it didn't,
+// the events keep it from ever running, so that a delayed copy of the request can't
+// run after it was reported as not run.
 func Outcome(s *cluster.State, request string) ([]cluster.Event, *cluster.Answer, bool) {
 	if a := s.FindAnswer(request); a != nil {
-		return nil, a, a.Digest != voidDigest
+		return nil, a, a.Digest != notRunDigest
 	}
-	a := &cluster.Answer{Request: request, Digest: voidDigest, Version: s.Version + 1, Detail: "not run"}
+	a := &cluster.Answer{Request: request, Digest: notRunDigest, Version: s.Version + 1, Detail: "not run"}
 	return []cluster.Event{{Answer: a}}, a, false
 }
 
-// Evaluate returns the events that carry out the command, the last of which is
-// its answer. If the command was carried out before, it returns the first
-// answer and no events.
+// Evaluate returns the events that carry out the command, the last of which is its
+// answer. If the command was carried out before, it returns the first answer and no
+// events.
 func Evaluate(s *cluster.State, c *Command) ([]cluster.Event, *cluster.Answer, error) {
 	digest, err := c.digest()
 	if err != nil {
@@ -82,7 +83,7 @@
 		return nil, nil, &catkinrail.FieldError{Field: "request", Reason: "is missing"}
 	}
 	if a := s.FindAnswer(c.Request); a != nil {
-		if a.Digest == voidDigest {
+		if a.Digest == notRunDigest {
 			return nil, nil, fmt.Errorf("request %q: %w", c.Request, ErrVoid)
 		}
 		if a.Digest != digest {
@@ -98,7 +99,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	answer := &cluster.Answer{Request: c.Request, Digest: digest, Version: d.next(), Detail: detail}
+	answer := &cluster.Answer{Request: c.Request, Digest: digest, Version: d.nextVersion(), Detail: detail}
 	d.add(cluster.Event{Answer: answer})
 	return d.events, answer, nil
 }
@@ -118,7 +119,7 @@
 	case c.Remove != nil:
 		return d.remove(*c.Remove)
 	case c.Zone != nil:
-		return d.zone(c.Zone)
+		return d.declareZone(c.Zone)
 	}
 	return "", fmt.Errorf("command is empty: %w", ErrInvalid)
 }
@@ -137,11 +138,11 @@
 		}
 	}
 	if v := d.state.Quarantine[cluster.EndpointName(&cfg)]; v != 0 {
-		return "", fmt.Errorf("address %s, until every entry has version %d: %w", cfg.Addr, v, ErrQuarantine)
+		return "", fmt.Errorf("address %s, until every entry instance has version %d: %w", cfg.Addr, v, ErrQuarantine)
 	}
 	id := d.state.LastService + 1
 	d.add(cluster.Event{ServicePut: &cluster.ServicePut{
-		ID: id, Config: cfg, Seed: xxh3.HashString(fmt.Sprintf("%s %d %d", cfg.Name, id, d.next())),
+		ID: id, Config: cfg, Seed: xxh3.HashString(fmt.Sprintf("%s %d %d", cfg.Name, id, d.nextVersion())),
 	}})
 	return fmt.Sprintf("service %s created", cfg.Name), nil
 }
@@ -155,15 +156,17 @@
 	if err := cfg.Validate(); err != nil {
 		return "", errors.Join(ErrInvalid, err)
 	}
-	if err := immutable(&svc.Config, &cfg); err != nil {
+	if err := checkImmutable(&svc.Config, &cfg); err != nil {
 		return "", err
 	}
 	d.add(cluster.Event{ServicePut: &cluster.ServicePut{ID: svc.ID, Config: cfg, Seed: svc.Seed}})
 	return fmt.Sprintf("service %s changed", cfg.Name), nil
 }
 
-// immutable refuses changes that would send the packets of open flows elsewhere.
-func immutable(old, cfg *catkinrail.ServiceConfig) error {
+// checkImmutable returns an error that joins ErrImmutable and a FieldError for each
+// changed field that is immutable, because changing it would send packets of open
+// flows elsewhere.
+func checkImmutable(old, cfg *catkinrail.ServiceConfig) error {
 	var errs []error
 	check := func(same bool, field string) {
 		if !same {
@@ -211,14 +214,14 @@
 	return fmt.Sprintf("backend server %s %s", ref.Name, verb), nil
 }
 
-// putBackend puts the backend server and rebalances its service with it.
+// putBackend updates the backend server and rebalances its service.
 func (d *draft) putBackend(svc *catkinrail.Service, b *catkinrail.Backend) {
 	d.add(cluster.Event{BackendPut: b})
 	d.rebalanceWith(svc, b)
 }
 
-// rebalanceWith rebalances the service as if the given backend servers stood in
-// the state already.
+// rebalanceWith rebalances the service as if the given backend servers were already
+// in the state. It leaves alone tracked services and those without assigned buckets.
 func (d *draft) rebalanceWith(svc *catkinrail.Service, changed ...*catkinrail.Backend) {
 	list := d.state.BackendsOf(svc.ID)
 	for _, c := range changed {
@@ -233,7 +236,7 @@
 }
 
 // unassigned reports whether the service's buckets have no slots yet. The planner
-// assigns them once its first backend servers have had time to come.
+// assigns them after initialAssignmentDelay.
 func unassigned(svc *catkinrail.Service) bool {
 	return svc.Buckets[0].Owner() == catkinrail.NoSlot
 }
@@ -243,11 +246,11 @@
 	if in == nil {
 		return "", fmt.Errorf("instance %q: %w", name, ErrNotFound)
 	}
-	d.lose([]catkinrail.InstanceID{in.ID})
+	d.removeInstances([]catkinrail.InstanceID{in.ID})
 	return fmt.Sprintf("instance %s removed", name), nil
 }
 
-func (d *draft) zone(z *cluster.ZoneLost) (string, error) {
+func (d *draft) declareZone(z *cluster.ZoneLost) (string, error) {
 	if z.Zone == "" {
 		return "", &catkinrail.FieldError{Field: "zone", Reason: "is missing"}
 	}
--- a/coordination/plan/forget.go
+++ b/coordination/plan/forget.go
@@ -7,51 +7,52 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-// maxForgotten bounds the backend servers that one change removes from the state.
-const maxForgotten = 64
+// maxRemoved limits the number of backend servers that one change removes.
+const maxRemoved = 64
 
-// forgetGone removes backend servers that are gone for so long that no flow and no
-// late announcement can name them, unless a bucket still does. One that an operator
-// has drained is kept for its next life, which the drain goes over to.
-func (p *Planner) forgetGone(d *draft, now time.Time) {
+// removeEnded removes backend servers that ended so long ago that no flow and no late
+// announcement can refer to them, unless a bucket still does. The latest incarnation
+// of a backend server that an operator drained is kept, so that the drain carries over
+// to the next one.
+func (p *Planner) removeEnded(d *draft, now time.Time) {
 	var due []*catkinrail.Backend
 	for _, id := range cluster.SortedKeys(d.state.Backends) {
 		b := d.state.Backends[id]
 		if b.State != catkinrail.BackendGone {
-			delete(p.gone, id)
+			delete(p.endedSince, id)
 			continue
 		}
-		if p.gone[id].IsZero() {
-			p.gone[id] = now
+		if p.endedSince[id].IsZero() {
+			p.endedSince[id] = now
 		}
-		if now.Sub(p.gone[id]) > catkinrail.KeepEnded && len(due) < maxForgotten {
+		if now.Sub(p.endedSince[id]) > catkinrail.KeepEnded && len(due) < maxRemoved {
 			due = append(due, b)
 		}
 	}
 	if len(due) == 0 {
 		return
 	}
-	named := namedBackends(d.state)
+	referenced := referencedBackends(d.state)
 	for _, b := range due {
-		last := d.state.BackendByName(b.Service, b.Name) == b
-		if named[b.ID] || (b.Drained && last) {
-			// It is looked at again after as long, not at each step.
-			p.gone[b.ID] = now
+		latest := d.state.BackendByName(b.Service, b.Name) == b
+		if referenced[b.ID] || (b.Drained && latest) {
+			// Check again after the same time, not at each step.
+			p.endedSince[b.ID] = now
 			continue
 		}
-		delete(p.gone, b.ID)
+		delete(p.endedSince, b.ID)
 		d.add(cluster.Event{BackendRemoved: b.ID})
 	}
 }
 
-// namedBackends returns the backend servers that buckets name.
-func namedBackends(s *cluster.State) map[catkinrail.BackendID]bool {
-	named := map[catkinrail.BackendID]bool{}
+// referencedBackends returns the backend servers that buckets refer to.
+func referencedBackends(s *cluster.State) map[catkinrail.BackendID]bool {
+	referenced := map[catkinrail.BackendID]bool{}
 	for _, svc := range s.Services {
 		for i := range svc.Buckets {
-			named[svc.Buckets[i].Cur.Backend()] = true
-			named[svc.Buckets[i].Next.Backend()] = true
+			referenced[svc.Buckets[i].Cur.Backend()] = true
+			referenced[svc.Buckets[i].Next.Backend()] = true
 		}
 	}
-	return named
+	return referenced
 }
--- a/coordination/plan/members.go
+++ b/coordination/plan/members.go
@@ -9,10 +9,10 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-// defaultWeight is the weight, in percent, of a backend server that names none.
+// defaultWeight is the weight, in percent, of a backend server that announces none.
 const defaultWeight = 100
 
-// Announcement is what a backend server says of itself.
+// Announcement is a backend server's report about itself in bucket mode.
 type Announcement struct {
 	Service     string           `cbor:"1,keyasint" json:"service"`
 	Name        string           `cbor:"2,keyasint" json:"name"`
@@ -25,10 +25,10 @@
 	Weight uint32 `cbor:"7,keyasint,omitempty" json:"weight,omitempty"`
 }
 
-// maxWeight bounds the weight of a backend server, in percent.
+// maxWeight is the largest weight of a backend server, in percent.
 const maxWeight = 1000
 
-// Validate returns an error that names the first wrong field.
+// Validate returns a FieldError for the first invalid field, or nil.
 func (a *Announcement) Validate() error {
 	switch {
 	case a.Service == "":
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// Announce returns the events that an announcement calls for: none if it tells
-// nothing new. An announcement of an earlier incarnation changes nothing.
+// Announce returns the events that an announcement causes, none if it changes nothing.
+// Announcements of earlier incarnations are ignored.
 func Announce(s *cluster.State, a *Announcement) ([]cluster.Event, error) {
 	if err := a.Validate(); err != nil {
 		return nil, err
@@ -73,62 +73,62 @@
 	return d.events, nil
 }
 
-// admit adds a new incarnation. The flows of the earlier one are gone, but an
-// operator's drain stays.
+// admit adds a new incarnation. The flows of the earlier one are lost, but an
+// operator's drain carries over.
 func (d *draft) admit(svc *catkinrail.Service, old *catkinrail.Backend, a *Announcement) {
 	b := &catkinrail.Backend{
 		ID: d.state.LastBackend + 1, Name: a.Name, Service: svc.ID, Zone: a.Zone,
 		Slots: a.Slots, Incarnation: a.Incarnation, Weight: announcedWeight(a), Full: announcedWeight(a),
 	}
 	if d.serving(svc) {
-		// A cold server begins with a part of its share.
+		// A cold backend server starts with a part of its weight.
 		b.Weight = max(b.Full/rampSteps, 1)
 	}
 	b.Drained = old != nil && old.Drained
 	b.State = announcedState(b, a)
 	changed := []*catkinrail.Backend{b}
 	if old != nil && old.State != catkinrail.BackendGone {
-		gone := *old
-		gone.State = catkinrail.BackendGone
-		d.add(cluster.Event{BackendPut: &gone})
-		changed = append(changed, &gone)
+		ended := *old
+		ended.State = catkinrail.BackendGone
+		d.add(cluster.Event{BackendPut: &ended})
+		changed = append(changed, &ended)
 	}
 	d.add(cluster.Event{BackendPut: b})
 	if old != nil && slices.Equal(old.Slots, b.Slots) {
-		svc = d.inherit(svc, old.ID, b.ID)
+		svc = d.transferBuckets(svc, old.ID, b.ID)
 	}
 	d.rebalanceWith(svc, changed...)
 }
 
-// inherit gives the buckets of an incarnation to the next one at the same
-// addresses. An instance that hasn't heard of it yet sends new flows there too,
-// so the buckets must not move. It returns the service with the new buckets.
-func (d *draft) inherit(svc *catkinrail.Service, old, next catkinrail.BackendID) *catkinrail.Service {
-	heir := *svc
-	heir.Buckets = slices.Clone(svc.Buckets)
+// transferBuckets gives the buckets of an incarnation to the next one at the same
+// addresses. An instance without the new version sends new flows there too, so the
+// buckets must not move. It returns the service with the new buckets.
+func (d *draft) transferBuckets(svc *catkinrail.Service, old, next catkinrail.BackendID) *catkinrail.Service {
+	updated := *svc
+	updated.Buckets = slices.Clone(svc.Buckets)
 	sets := bucketSets{}
-	turned := map[uint16]bool{}
+	redirected := map[uint16]bool{}
 	replace := func(s *catkinrail.SlotID) {
 		if s.Backend() == old && *s != catkinrail.NoSlot {
 			*s = catkinrail.MakeSlotID(next, s.Index())
 		}
 	}
-	for n := range heir.Buckets {
-		b := &heir.Buckets[n]
+	for n := range updated.Buckets {
+		b := &updated.Buckets[n]
 		replace(&b.Cur)
 		replace(&b.Next)
 		if *b != svc.Buckets[n] {
 			sets.add(*b, n)
-			turned[uint16(n)] = true
+			redirected[uint16(n)] = true
 		}
 	}
 	d.addSets(svc.ID, sets)
-	d.touch(svc.ID, turned)
-	return &heir
+	d.bumpMoveVersions(svc.ID, redirected)
+	return &updated
 }
 
-// refresh takes over what the same incarnation says of itself. A backend server
-// that was gone for a while without restarting still has its flows.
+// refresh applies another announcement of the current incarnation. A backend server
+// that was out of contact for a while without restarting still has its flows.
 func (d *draft) refresh(svc *catkinrail.Service, old *catkinrail.Backend, a *Announcement) {
 	put := *old
 	if full := announcedWeight(a); full != old.Full {
@@ -144,12 +144,12 @@
 	d.putBackend(svc, &put)
 }
 
-// rampSteps is the number of steps in which a cold backend server reaches its
-// full weight.
+// rampSteps is the number of steps in which a cold backend server reaches its full
+// weight.
 const rampSteps = 4
 
-// serving reports whether the service already has backend servers that take new
-// flows, so that a cold one need not take its whole share at once.
+// serving reports whether the service's buckets are assigned. Other backend servers
+// then take new flows, so that a cold one need not take its whole share at once.
 func (d *draft) serving(svc *catkinrail.Service) bool {
 	return !unassigned(svc)
 }
@@ -168,8 +168,8 @@
 	return catkinrail.BackendActive
 }
 
-// Expire returns the events for backend servers that stopped announcing
-// themselves.
+// Expire returns the events that end backend servers which stopped announcing
+// themselves. Their flows count as lost.
 func Expire(s *cluster.State, ids []catkinrail.BackendID) []cluster.Event {
 	d := &draft{state: s}
 	byService := map[catkinrail.ServiceID][]*catkinrail.Backend{}
@@ -187,8 +187,9 @@
 	return d.events
 }
 
-// Eject returns the events that take backend servers out, or back in, on the
-// verdict of health checks. At most the service's share is out at once.
+// Eject returns the events that eject backend servers whose health checks failed and
+// readmit ejected ones that are healthy. Each service limits the share of backend
+// servers that is ejected at once (MaxEject).
 func Eject(s *cluster.State, failed, healthy []catkinrail.BackendID) []cluster.Event {
 	d := &draft{state: s}
 	byService := map[catkinrail.ServiceID][]*catkinrail.Backend{}
@@ -226,20 +227,20 @@
 	for _, b := range changed {
 		states[b.ID] = b.State
 	}
-	present, out := 0, 0
+	present, ejected := 0, 0
 	for _, state := range states {
 		switch state {
 		case catkinrail.BackendActive:
 			present++
 		case catkinrail.BackendEjected:
 			present++
-			out++
+			ejected++
 		}
 	}
-	return (out+1)*100 <= present*svc.Config.MaxEject
+	return (ejected+1)*100 <= present*svc.Config.MaxEject
 }
 
-// Registration is what an entry instance says of itself when it starts.
+// Registration is what an entry instance reports about itself when it starts.
 type Registration struct {
 	Name        string          `cbor:"1,keyasint"`
 	Zone        catkinrail.Zone `cbor:"2,keyasint"`
@@ -247,32 +248,32 @@
 	Incarnation uint64          `cbor:"4,keyasint"`
 }
 
-// Register returns the events that admit an entry instance and its identifier.
-// Registering the same incarnation again returns the first identifier.
+// Register returns the events that admit an entry instance, and its identifier.
+// Registering the same incarnation again returns the same identifier.
 func Register(s *cluster.State, r *Registration) ([]cluster.Event, catkinrail.InstanceID, error) {
 	if r.Name == "" || r.Zone == "" || !r.Relay.IsValid() || r.Incarnation == 0 {
-		return nil, 0, fmt.Errorf("registration of instance %q lacks a field: %w", r.Name, ErrInvalid)
+		return nil, 0, fmt.Errorf("register instance %q: name, zone, relay address or incarnation is missing: %w", r.Name, ErrInvalid)
 	}
 	old := s.InstanceByName(r.Name)
 	if old != nil && old.Incarnation == r.Incarnation {
 		return nil, old.ID, nil
 	}
 	if old != nil && old.Incarnation > r.Incarnation {
-		return nil, 0, fmt.Errorf("instance %q has a newer incarnation: %w", r.Name, ErrConflict)
+		return nil, 0, fmt.Errorf("register instance %q: a newer incarnation is registered: %w", r.Name, ErrConflict)
 	}
 	d := &draft{state: s}
 	id := s.LastInstance + 1
 	d.add(cluster.Event{InstancePut: &catkinrail.Instance{
-		ID: id, Name: r.Name, Zone: r.Zone, Relay: r.Relay, Incarnation: r.Incarnation, Since: d.next(),
+		ID: id, Name: r.Name, Zone: r.Zone, Relay: r.Relay, Incarnation: r.Incarnation, Since: d.nextVersion(),
 	}})
 	if old != nil {
-		d.lose([]catkinrail.InstanceID{old.ID})
+		d.removeInstances([]catkinrail.InstanceID{old.ID})
 	}
 	return d.events, id, nil
 }
 
-// Leave returns the events that mark an entry instance as leaving. It goes on
-// forwarding until the view no longer names it.
+// Leave returns the events that mark an entry instance as leaving. It keeps
+// forwarding until the view no longer contains it.
 func Leave(s *cluster.State, id catkinrail.InstanceID) []cluster.Event {
 	in := s.Instances[id]
 	if in == nil || in.Leaving {
@@ -283,15 +284,16 @@
 	return []cluster.Event{{InstancePut: &put}}
 }
 
-// Left returns the events for an instance that has ended its graceful shutdown.
+// Left returns the events that remove an entry instance which has completed its
+// graceful shutdown.
 func Left(s *cluster.State, id catkinrail.InstanceID) []cluster.Event {
 	d := &draft{state: s}
-	d.lose([]catkinrail.InstanceID{id})
+	d.removeInstances([]catkinrail.InstanceID{id})
 	return d.events
 }
 
-// lose takes the instances out of the view and removes them.
-func (d *draft) lose(ids []catkinrail.InstanceID) {
+// removeInstances removes the instances from the state and from the view.
+func (d *draft) removeInstances(ids []catkinrail.InstanceID) {
 	for _, id := range ids {
 		if d.state.Instances[id] != nil {
 			d.add(cluster.Event{InstanceRemoved: id})
@@ -300,8 +302,9 @@
 	d.exclude(ids)
 }
 
-// silence takes the instances out of the view but keeps them registered.
-func (d *draft) silence(ids []catkinrail.InstanceID) {
+// excludeSilent marks the instances as silent and removes them from the view. They
+// stay registered.
+func (d *draft) excludeSilent(ids []catkinrail.InstanceID) {
 	for _, id := range ids {
 		d.setSilent(id, true)
 	}
@@ -314,19 +317,19 @@
 	d.add(cluster.Event{InstancePut: &put})
 }
 
-// exclude takes the instances out of the view. The view falls back to the
-// members of Base that are left, which hold every record, and starts towards a
-// target without the lost ones.
-func (d *draft) exclude(lost []catkinrail.InstanceID) {
+// exclude removes the instances from the view. The view goes back to Prepare with the
+// remaining members of Base, which hold every record, and a target without the
+// excluded instances.
+func (d *draft) exclude(ids []catkinrail.InstanceID) {
 	v := d.state.View
-	named := func(id catkinrail.InstanceID) bool {
+	inView := func(id catkinrail.InstanceID) bool {
 		return slices.Contains(v.Base, id) || slices.Contains(v.Target, id)
 	}
-	if !slices.ContainsFunc(lost, named) {
+	if !slices.ContainsFunc(ids, inView) {
 		return
 	}
 	dead := slices.Clone(v.Dead)
-	for _, id := range lost {
+	for _, id := range ids {
 		if slices.Contains(v.Base, id) && !slices.Contains(dead, id) {
 			dead = append(dead, id)
 		}
@@ -336,14 +339,14 @@
 		target = v.Base
 	}
 	target = slices.DeleteFunc(slices.Clone(target), func(id catkinrail.InstanceID) bool {
-		return slices.Contains(lost, id)
+		return slices.Contains(ids, id)
 	})
 	d.setView(catkinrail.View{Phase: catkinrail.Prepare, Base: v.Base, Target: target, Dead: dead})
 }
 
-// setView puts a view with the version of this draft and its members' zones.
+// setView sets the view, with the version of this draft and the zones of its members.
 func (d *draft) setView(v catkinrail.View) {
-	v.Version = d.next()
+	v.Version = d.nextVersion()
 	v.Zones = map[catkinrail.InstanceID]catkinrail.Zone{}
 	for _, id := range slices.Concat(v.Base, v.Target) {
 		if in := d.state.Instances[id]; in != nil {
@@ -355,8 +358,9 @@
 	d.add(cluster.Event{ViewSet: &v})
 }
 
-// Exceptions returns the events that make every instance look up the flows of
-// settled buckets in which a zone that was cut off placed flows elsewhere.
+// Exceptions returns the events that make every instance look up the flows of settled
+// buckets in which a partitioned zone placed flows on other slots. They prepare a move
+// of each bucket to its current slot.
 func Exceptions(s *cluster.State, service catkinrail.ServiceID, buckets []uint32) []cluster.Event {
 	svc := s.Services[service]
 	if svc == nil {
@@ -378,13 +382,13 @@
 	}
 	d.addSets(service, sets)
 	d.add(cluster.Event{MovePut: &catkinrail.Move{
-		ID: d.moveID(service), Service: service, Phase: catkinrail.Prepare, Version: d.next(), Buckets: prepared,
+		ID: d.moveID(service), Service: service, Phase: catkinrail.Prepare, Version: d.nextVersion(), Buckets: prepared,
 	}})
 	return d.events
 }
 
-// Silence returns the events that give backend servers no new flows because
-// they stopped announcing themselves. They keep the flows they have.
+// Silence returns the events that eject backend servers which stopped announcing
+// themselves. They take no new flows but keep their open ones.
 func Silence(s *cluster.State, ids []catkinrail.BackendID) []cluster.Event {
 	d := &draft{state: s}
 	byService := map[catkinrail.ServiceID][]*catkinrail.Backend{}
@@ -402,7 +406,7 @@
 	return d.events
 }
 
-// rebalanceAll rebalances each service with its changed backend servers.
+// rebalanceAll rebalances each of the services with its changed backend servers.
 func (d *draft) rebalanceAll(byService map[catkinrail.ServiceID][]*catkinrail.Backend) {
 	for _, id := range cluster.SortedKeys(byService) {
 		if svc := d.state.Services[id]; svc != nil {
--- a/coordination/plan/moves.go
+++ b/coordination/plan/moves.go
@@ -8,8 +8,7 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-// draft collects the events of one change. It reads the state and never alters
-// it.
+// draft collects the events of one change. It reads the state and never modifies it.
 type draft struct {
 	state  *cluster.State
 	events []cluster.Event
@@ -19,17 +18,17 @@
 	d.events = append(d.events, e)
 }
 
-// next is the version that the draft will take effect at.
-func (d *draft) next() uint64 {
+// nextVersion returns the version at which the draft takes effect.
+func (d *draft) nextVersion() uint64 {
 	return d.state.Version + 1
 }
 
-// serviceBits is the width of the service within the identifier of a move.
+// serviceBits is the number of bits for the service in the identifier of a move.
 const serviceBits = 20
 
-// moveID identifies the move that this draft begins for a service.
+// moveID returns the identifier of the move that this draft begins for a service.
 func (d *draft) moveID(id catkinrail.ServiceID) uint64 {
-	return d.next()<<serviceBits | uint64(id)&(1<<serviceBits-1)
+	return d.nextVersion()<<serviceBits | uint64(id)&(1<<serviceBits-1)
 }
 
 // rebalance moves buckets of the service so that the given backend servers own
@@ -38,10 +37,10 @@
 	sets := bucketSets{}
 	var prepared []uint16
 	cancelled := map[uint16]bool{}
-	turned := map[uint16]bool{}
+	redirected := map[uint16]bool{}
 	for _, r := range Rebalance(svc.Buckets, backends) {
 		old := svc.Buckets[r.Bucket]
-		value := reassign(old, r.Owner, d.gone(old.Cur))
+		value := reassign(old, r.Owner, d.slotEnded(old.Cur))
 		if value.Phase == catkinrail.Prepare && old.Phase != catkinrail.Prepare {
 			prepared = append(prepared, uint16(r.Bucket))
 		}
@@ -49,23 +48,23 @@
 			cancelled[uint16(r.Bucket)] = true
 		}
 		if old.Phase == catkinrail.Open {
-			turned[uint16(r.Bucket)] = true
+			redirected[uint16(r.Bucket)] = true
 		}
 		sets.add(value, r.Bucket)
 	}
 	d.addSets(svc.ID, sets)
-	d.cancel(svc.ID, cancelled)
-	d.touch(svc.ID, turned)
+	d.cancelPrepared(svc.ID, cancelled)
+	d.bumpMoveVersions(svc.ID, redirected)
 	if len(prepared) > 0 {
 		d.add(cluster.Event{MovePut: &catkinrail.Move{
-			ID: d.moveID(svc.ID), Service: svc.ID, Phase: catkinrail.Prepare, Version: d.next(), Buckets: prepared,
+			ID: d.moveID(svc.ID), Service: svc.ID, Phase: catkinrail.Prepare, Version: d.nextVersion(), Buckets: prepared,
 		}})
 	}
 }
 
-// cancel takes the buckets out of the service's prepared moves, so that a later
-// move that prepares them again isn't opened by the earlier one.
-func (d *draft) cancel(id catkinrail.ServiceID, buckets map[uint16]bool) {
+// cancelPrepared removes the buckets from the service's moves in Prepare. Otherwise
+// such a move would open them early if a later move prepares them again.
+func (d *draft) cancelPrepared(id catkinrail.ServiceID, buckets map[uint16]bool) {
 	if len(buckets) == 0 {
 		return
 	}
@@ -84,9 +83,9 @@
 	}
 }
 
-// touch starts a new version of the open moves that own the buckets, because
-// what instances reported about them before was about other owners.
-func (d *draft) touch(id catkinrail.ServiceID, buckets map[uint16]bool) {
+// bumpMoveVersions gives the open moves that contain the buckets a new version,
+// because earlier reports of instances were about other owners.
+func (d *draft) bumpMoveVersions(id catkinrail.ServiceID, buckets map[uint16]bool) {
 	if len(buckets) == 0 {
 		return
 	}
@@ -97,13 +96,14 @@
 		}
 		if slices.ContainsFunc(m.Buckets, func(n uint16) bool { return buckets[n] }) {
 			put := *m
-			put.Version = d.next()
+			put.Version = d.nextVersion()
 			d.add(cluster.Event{MovePut: &put})
 		}
 	}
 }
 
-// replaceMove gives a move other buckets and leaves its phase as it is.
+// replaceMove reduces a move to the given buckets, in the same phase, or removes it
+// if there are none.
 func (d *draft) replaceMove(m *catkinrail.Move, buckets []uint16) {
 	if len(buckets) == 0 {
 		d.add(cluster.Event{MoveRemoved: m.ID})
@@ -117,14 +117,14 @@
 	d.add(cluster.Event{MovePut: &put})
 }
 
-// gone reports whether a slot can hold no flow.
-func (d *draft) gone(slot catkinrail.SlotID) bool {
-	return Gone(d.state, slot)
+// slotEnded calls SlotEnded with the draft's state.
+func (d *draft) slotEnded(slot catkinrail.SlotID) bool {
+	return SlotEnded(d.state, slot)
 }
 
-// Gone reports whether a slot can hold no flow, because its backend server is
-// gone or never was.
-func Gone(s *cluster.State, slot catkinrail.SlotID) bool {
+// SlotEnded reports whether a slot can hold no flow, because its backend server has
+// ended or doesn't exist.
+func SlotEnded(s *cluster.State, slot catkinrail.SlotID) bool {
 	if slot == catkinrail.NoSlot {
 		return true
 	}
@@ -132,13 +132,14 @@
 	return b == nil || b.State == catkinrail.BackendGone
 }
 
-// reassign returns the bucket with a new owner.
+// reassign returns the bucket with a new owner. curEnded tells that its current slot
+// can hold no flow.
 //
 // A settled bucket is prepared first. A bucket in Prepare has placed no flow on
-// its next slot yet, so the next slot is replaced. A bucket in Open already
-// keeps a record of each new flow, so its new flows turn at once. A bucket
+// its next slot yet, so the next slot is replaced. A bucket in Open already keeps
+// a record of each new flow, so new flows go to the new owner at once. A bucket
 // that never had a slot has no flow to keep.
-func reassign(b catkinrail.Bucket, owner catkinrail.SlotID, gone bool) catkinrail.Bucket {
+func reassign(b catkinrail.Bucket, owner catkinrail.SlotID, curEnded bool) catkinrail.Bucket {
 	if b.Cur == catkinrail.NoSlot {
 		return catkinrail.Bucket{Cur: owner}
 	}
@@ -146,21 +147,21 @@
 	case catkinrail.Open:
 		return catkinrail.Bucket{Cur: b.Cur, Next: owner, Phase: catkinrail.Open}
 	case catkinrail.Prepare:
-		if b.Cur == owner && !gone {
+		if b.Cur == owner && !curEnded {
 			return catkinrail.Bucket{Cur: owner}
 		}
 	}
 	return catkinrail.Bucket{Cur: b.Cur, Next: owner, Phase: catkinrail.Prepare}
 }
 
-// bucketSets groups buckets by the value that they are given.
+// bucketSets groups buckets by their new value.
 type bucketSets map[catkinrail.Bucket][]uint16
 
 func (s bucketSets) add(value catkinrail.Bucket, n int) {
 	s[value] = append(s[value], uint16(n))
 }
 
-// addSets adds the sets in a fixed order.
+// addSets adds an event for each set, in a fixed order.
 func (d *draft) addSets(id catkinrail.ServiceID, sets bucketSets) {
 	values := make([]catkinrail.Bucket, 0, len(sets))
 	for v := range sets {
@@ -174,7 +175,7 @@
 	}
 }
 
-// openMove turns the prepared buckets of a move to their next slot.
+// openMove opens the prepared buckets of a move: new flows go to their next slot.
 func (d *draft) openMove(m *catkinrail.Move) {
 	svc := d.state.Services[m.Service]
 	sets := bucketSets{}
@@ -194,11 +195,12 @@
 		return
 	}
 	d.add(cluster.Event{MovePut: &catkinrail.Move{
-		ID: m.ID, Service: m.Service, Phase: catkinrail.Open, Version: d.next(), Buckets: open,
+		ID: m.ID, Service: m.Service, Phase: catkinrail.Open, Version: d.nextVersion(), Buckets: open,
 	}})
 }
 
-// settleMove ends the move for its open buckets.
+// settleMove settles the open buckets of a move on their next slot and removes the
+// move.
 func (d *draft) settleMove(m *catkinrail.Move) {
 	svc := d.state.Services[m.Service]
 	sets := bucketSets{}
--- a/coordination/plan/plan_test.go
+++ b/coordination/plan/plan_test.go
@@ -18,38 +18,39 @@
 
 const logbook = "logbook"
 
-// world is a state with what is needed to change it.
-type world struct {
-	t     require.TestingT
-	state *cluster.State
-	now   time.Time
-	plan  *plan.Planner
-	last  map[catkinrail.InstanceID]plan.Member
-	n     int
+// harness drives a cluster state with a planner and a simulated clock.
+type harness struct {
+	t            require.TestingT
+	state        *cluster.State
+	now          time.Time
+	planner      *plan.Planner
+	lastReported map[catkinrail.InstanceID]plan.Member
+	// serial numbers requests and incarnations of entry instances.
+	serial int
 }
 
-func newWorld(t require.TestingT) *world {
-	w := &world{t: t, state: cluster.New(), now: time.Unix(1000, 0), plan: plan.NewPlanner()}
-	w.command(&plan.Command{Create: config(logbook, "192.0.2.1:443")})
-	return w
+func newHarness(t require.TestingT) *harness {
+	h := &harness{t: t, state: cluster.New(), now: time.Unix(1000, 0), planner: plan.NewPlanner()}
+	h.command(&plan.Command{Create: config(logbook, "192.0.2.1:443")})
+	return h
 }
 
 func config(name, addr string) *catkinrail.ServiceConfig {
 	return &catkinrail.ServiceConfig{Name: name, Addr: netip.MustParseAddrPort(addr), Buckets: 128, IdleTimeout: time.Minute}
 }
 
-func (w *world) apply(events []cluster.Event) {
+func (h *harness) apply(events []cluster.Event) {
 	if len(events) > 0 {
-		require.NoError(w.t, w.state.Apply(cluster.Change{Version: w.state.Version + 1, Events: events}))
+		require.NoError(h.t, h.state.Apply(cluster.Change{Version: h.state.Version + 1, Events: events}))
 	}
 }
 
-func (w *world) command(c *plan.Command) {
-	w.n++
-	c.Request = fmt.Sprint(w.n)
-	events, _, err := plan.Evaluate(w.state, c)
-	require.NoError(w.t, err)
-	w.apply(events)
+func (h *harness) command(c *plan.Command) {
+	h.serial++
+	c.Request = fmt.Sprint(h.serial)
+	events, _, err := plan.Evaluate(h.state, c)
+	require.NoError(h.t, err)
+	h.apply(events)
 }
 
 func announcement(name string, slots int, incarnation uint64) *plan.Announcement {
@@ -61,91 +62,92 @@
 	return a
 }
 
-func (w *world) announce(a *plan.Announcement) {
-	events, err := plan.Announce(w.state, a)
-	require.NoError(w.t, err)
-	w.apply(events)
+func (h *harness) announce(a *plan.Announcement) {
+	events, err := plan.Announce(h.state, a)
+	require.NoError(h.t, err)
+	h.apply(events)
 }
 
-func (w *world) register(name string, zone catkinrail.Zone) catkinrail.InstanceID {
-	w.n++
-	events, id, err := plan.Register(w.state, &plan.Registration{
-		Name: name, Zone: zone, Relay: netip.MustParseAddrPort("127.0.0.1:7300"), Incarnation: uint64(w.n),
+func (h *harness) register(name string, zone catkinrail.Zone) catkinrail.InstanceID {
+	h.serial++
+	events, id, err := plan.Register(h.state, &plan.Registration{
+		Name: name, Zone: zone, Relay: netip.MustParseAddrPort("127.0.0.1:7300"), Incarnation: uint64(h.serial),
 	})
-	require.NoError(w.t, err)
-	w.apply(events)
+	require.NoError(h.t, err)
+	h.apply(events)
 	return id
 }
 
-// members returns the report of instances that are up to date, but for those
-// without a lease: what they reported last stays.
-func (w *world) members(unleased ...catkinrail.InstanceID) map[catkinrail.InstanceID]plan.Member {
+// upToDate returns the status of all entry instances, with the latest version. Those
+// without a lease keep what they reported last.
+func (h *harness) upToDate(unleased ...catkinrail.InstanceID) map[catkinrail.InstanceID]plan.Member {
 	m := map[catkinrail.InstanceID]plan.Member{}
-	for id := range w.state.Instances {
-		m[id] = plan.Member{Leased: true, Version: w.state.Version, Synced: w.state.Version}
+	for id := range h.state.Instances {
+		m[id] = plan.Member{Leased: true, Version: h.state.Version, Synced: h.state.Version}
 		if slices.Contains(unleased, id) {
-			m[id] = plan.Member{Version: w.last[id].Version, Synced: w.last[id].Synced}
+			m[id] = plan.Member{Version: h.lastReported[id].Version, Synced: h.lastReported[id].Synced}
 		}
 	}
-	w.last = m
+	h.lastReported = m
 	return m
 }
 
-// settle lets the planner work for a time with everybody up to date.
-func (w *world) settle(d time.Duration, unleased ...catkinrail.InstanceID) {
+// run runs the planner for the duration d. All entry instances with a lease are up to
+// date.
+func (h *harness) run(d time.Duration, unleased ...catkinrail.InstanceID) {
 	const tick = 100 * time.Millisecond
-	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(tick) {
-		w.plan.Observe(w.members(unleased...))
-		w.apply(w.plan.Next(w.state, w.now))
+	for end := h.now.Add(d); h.now.Before(end); h.now = h.now.Add(tick) {
+		h.planner.Observe(h.upToDate(unleased...))
+		h.apply(h.planner.Next(h.state, h.now))
 	}
 }
 
-func (w *world) service() *catkinrail.Service {
-	return w.state.ServiceByName(logbook)
+func (h *harness) service() *catkinrail.Service {
+	return h.state.ServiceByName(logbook)
 }
 
-// TestTables checks, over random changes, that every table is balanced, that a
-// bucket only takes steps that break no flow, and that the fewest buckets move.
-func TestTables(t *testing.T) {
+// TestTableChanges checks, over random changes, that every table is balanced and that
+// a bucket only takes steps that break no flow.
+func TestTableChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
-		w.register("entry-1", "kochi")
+		h := newHarness(t)
+		h.register("entry-1", "kochi")
 		incarnation := uint64(1)
 		for i := range 3 {
-			w.announce(announcement(fmt.Sprint("host-", i), 2, 1))
+			h.announce(announcement(fmt.Sprint("host-", i), 2, 1))
 		}
-		w.settle(3 * time.Second)
+		h.run(3 * time.Second)
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
-			before := append([]catkinrail.Bucket(nil), w.service().Buckets...)
+			before := append([]catkinrail.Bucket(nil), h.service().Buckets...)
 			name := fmt.Sprint("host-", rapid.IntRange(0, 6).Draw(t, "host"))
-			known := w.state.BackendByName(w.service().ID, name) != nil
+			known := h.state.BackendByName(h.service().ID, name) != nil
 			ref := &plan.BackendRef{Service: logbook, Name: name}
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
 				if known {
-					w.command(&plan.Command{Drain: ref})
+					h.command(&plan.Command{Drain: ref})
 				}
 			case 1:
 				if known {
-					w.command(&plan.Command{Readmit: ref})
+					h.command(&plan.Command{Readmit: ref})
 				}
 			case 2:
 				incarnation++
-				w.announce(announcement(name, 2, incarnation))
+				h.announce(announcement(name, 2, incarnation))
 			case 3:
-				w.settle(time.Duration(rapid.IntRange(100, 4000).Draw(t, "millis")) * time.Millisecond)
+				h.run(time.Duration(rapid.IntRange(100, 4000).Draw(t, "millis")) * time.Millisecond)
 			default:
-				w.announce(announcement(name, 2, 1))
+				h.announce(announcement(name, 2, 1))
 			}
-			checkSteps(t, w.state, before, w.service().Buckets)
-			checkBalance(t, w.state, w.service())
+			checkSteps(t, h.state, before, h.service().Buckets)
+			checkBalance(t, h.state, h.service())
 		}
 	})
 }
 
 // checkSteps checks that each bucket took a step that keeps its flows. Slots are
-// compared by address: a new incarnation at the same address takes the place of
-// the earlier one.
+// compared by address, because a new incarnation at the same address replaces the
+// earlier one.
 func checkSteps(t require.TestingT, s *cluster.State, before, after []catkinrail.Bucket) {
 	addr := func(id catkinrail.SlotID) netip.AddrPort {
 		if b := s.Backends[id.Backend()]; b != nil {
@@ -166,8 +168,8 @@
 	}
 }
 
-// checkBalance checks that each active slot owns its share by weight, rounded up
-// or down.
+// checkBalance checks that each active slot owns its share of buckets by weight,
+// rounded up or down.
 func checkBalance(t require.TestingT, s *cluster.State, svc *catkinrail.Service) {
 	owned := map[catkinrail.SlotID]int{}
 	for _, b := range svc.Buckets {
@@ -191,20 +193,20 @@
 	}
 }
 
-// TestColdServerWarmsUp adds a server to seven others. It gets its share in four
-// steps, and no bucket moves that need not.
+// TestColdServerWarmsUp adds a backend server to seven others. It must get its share
+// in steps, and only buckets that it takes over may move.
 func TestColdServerWarmsUp(t *testing.T) {
-	w := newWorld(t)
-	w.register("entry-1", "kochi")
+	h := newHarness(t)
+	h.register("entry-1", "kochi")
 	for i := range 7 {
-		w.announce(announcement(fmt.Sprint("host-", i), 1, 1))
+		h.announce(announcement(fmt.Sprint("host-", i), 1, 1))
 	}
-	w.settle(3 * time.Second)
-	before := append([]catkinrail.Bucket(nil), w.service().Buckets...)
-	w.announce(announcement("host-7", 1, 1))
-	id := w.state.BackendByName(w.service().ID, "host-7").ID
+	h.run(3 * time.Second)
+	before := append([]catkinrail.Bucket(nil), h.service().Buckets...)
+	h.announce(announcement("host-7", 1, 1))
+	id := h.state.BackendByName(h.service().ID, "host-7").ID
 	moved := func() (to, all int) {
-		for n, b := range w.service().Buckets {
+		for n, b := range h.service().Buckets {
 			if b.Owner() != before[n].Owner() {
 				all++
 			}
@@ -215,13 +217,13 @@
 		return to, all
 	}
 	to, all := moved()
-	require.Equal(t, 4, to, "128 buckets, a weight of 25 of 725")
+	require.Equal(t, 4, to, "128 buckets, weight 25 of 725")
 	require.Equal(t, to, all)
-	w.settle(40 * time.Second)
+	h.run(40 * time.Second)
 	to, all = moved()
 	require.Equal(t, 128/8, to)
 	require.Equal(t, to, all)
-	checkBalance(t, w.state, w.service())
+	checkBalance(t, h.state, h.service())
 }
 
 func TestMoveWaitsForEveryLease(t *testing.T) {
@@ -233,34 +235,34 @@
 		lost     bool
 		opens    bool
 	}{
-		{"everybody is up to date", "kochi", []catkinrail.Zone{"kochi", "kollam"}, nil, false, true},
-		{"one of three is lost", "kochi", []catkinrail.Zone{"kochi", "kochi", "kochi"}, []int{0}, false, true},
-		{"the server's zone is cut off", "kochi", []catkinrail.Zone{"kochi", "kochi", "kollam"}, []int{0, 1}, false, false},
-		{"the server's zone is declared lost", "kochi", []catkinrail.Zone{"kochi", "kochi", "kollam"}, []int{0, 1}, true, true},
-		{"another zone is cut off", "kochi", []catkinrail.Zone{"kochi", "kollam", "kollam"}, []int{1, 2}, false, true},
+		{"all instances up to date", "kochi", []catkinrail.Zone{"kochi", "kollam"}, nil, false, true},
+		{"one of three without a lease", "kochi", []catkinrail.Zone{"kochi", "kochi", "kochi"}, []int{0}, false, true},
+		{"backend server's zone partitioned", "kochi", []catkinrail.Zone{"kochi", "kochi", "kollam"}, []int{0, 1}, false, false},
+		{"backend server's zone declared lost", "kochi", []catkinrail.Zone{"kochi", "kochi", "kollam"}, []int{0, 1}, true, true},
+		{"other zone partitioned", "kochi", []catkinrail.Zone{"kochi", "kollam", "kollam"}, []int{1, 2}, false, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWorld(t)
+			h := newHarness(t)
 			var ids, unleased []catkinrail.InstanceID
 			for i, zone := range tt.entries {
-				ids = append(ids, w.register(fmt.Sprint("entry-", i), zone))
+				ids = append(ids, h.register(fmt.Sprint("entry-", i), zone))
 			}
 			for _, i := range tt.unleased {
 				unleased = append(unleased, ids[i])
 			}
 			for i := range 3 {
-				w.announce(announcement(fmt.Sprint("host-", i), 1, 1))
+				h.announce(announcement(fmt.Sprint("host-", i), 1, 1))
 			}
-			w.settle(4 * time.Second)
+			h.run(4 * time.Second)
 			if tt.lost {
-				w.command(&plan.Command{Zone: &cluster.ZoneLost{Zone: tt.zone, Lost: true}})
+				h.command(&plan.Command{Zone: &cluster.ZoneLost{Zone: tt.zone, Lost: true}})
 			}
-			w.settle(4*time.Second, unleased...)
-			w.command(&plan.Command{Drain: &plan.BackendRef{Service: logbook, Name: "host-0"}})
-			w.settle(10*time.Second, unleased...)
+			h.run(4*time.Second, unleased...)
+			h.command(&plan.Command{Drain: &plan.BackendRef{Service: logbook, Name: "host-0"}})
+			h.run(10*time.Second, unleased...)
 			opened := false
-			for _, m := range w.state.Moves {
+			for _, m := range h.state.Moves {
 				opened = opened || m.Phase == catkinrail.Open
 			}
 			require.Equal(t, tt.opens, opened)
@@ -268,100 +270,100 @@
 	}
 }
 
-// TestFirstServersAreNotCold checks that a new service's first servers, which all
-// come at once, have their full weight from the start.
-func TestFirstServersAreNotCold(t *testing.T) {
+// TestFirstServersHaveFullWeight checks that the first backend servers of a new
+// service, which all start at once, have their full weight from the start.
+func TestFirstServersHaveFullWeight(t *testing.T) {
 	for _, balance := range []catkinrail.Balance{catkinrail.BalanceHashed, catkinrail.BalanceTracked} {
 		t.Run(string(balance), func(t *testing.T) {
-			w := newWorld(t)
-			w.command(&plan.Command{Delete: new(logbook)})
-			w.register("entry-1", "kochi")
-			w.settle(time.Second)
+			h := newHarness(t)
+			h.command(&plan.Command{Delete: new(logbook)})
+			h.register("entry-1", "kochi")
+			h.run(time.Second)
 			cfg := config(logbook, "192.0.2.1:443")
 			cfg.Balance = balance
-			w.command(&plan.Command{Create: cfg})
+			h.command(&plan.Command{Create: cfg})
 			for i := range 5 {
-				w.announce(announcement(fmt.Sprint("host-", i), 1, 1))
+				h.announce(announcement(fmt.Sprint("host-", i), 1, 1))
 			}
-			w.settle(3 * time.Second)
-			for _, b := range w.state.BackendsOf(w.service().ID) {
+			h.run(3 * time.Second)
+			for _, b := range h.state.BackendsOf(h.service().ID) {
 				require.Equal(t, uint32(100), b.Weight)
 			}
-			w.announce(announcement("host-9", 1, 1))
-			require.Equal(t, uint32(25), w.state.BackendByName(w.service().ID, "host-9").Weight)
+			h.announce(announcement("host-9", 1, 1))
+			require.Equal(t, uint32(25), h.state.BackendByName(h.service().ID, "host-9").Weight)
 		})
 	}
 }
 
-// TestViewWaitsForRecords checks that a new view opens only once every member
-// that is left has handed over its records.
+// TestViewWaitsForRecords checks that a new view opens only once every remaining
+// member has handed over its records.
 func TestViewWaitsForRecords(t *testing.T) {
-	w := newWorld(t)
-	a, b := w.register("entry-1", "kochi"), w.register("entry-2", "kollam")
-	w.settle(2 * time.Second)
-	require.Len(t, w.state.View.Base, 2)
-	c := w.register("entry-3", "ponnani")
-	wait := func() {
+	h := newHarness(t)
+	a, b := h.register("entry-1", "kochi"), h.register("entry-2", "kollam")
+	h.run(2 * time.Second)
+	require.Len(t, h.state.View.Base, 2)
+	c := h.register("entry-3", "ponnani")
+	runWithoutHandover := func() {
 		for range 20 {
-			m := w.members()
-			m[b] = plan.Member{Leased: true, Version: w.state.Version}
-			w.plan.Observe(m)
-			w.apply(w.plan.Next(w.state, w.now))
-			w.now = w.now.Add(100 * time.Millisecond)
+			m := h.upToDate()
+			m[b] = plan.Member{Leased: true, Version: h.state.Version}
+			h.planner.Observe(m)
+			h.apply(h.planner.Next(h.state, h.now))
+			h.now = h.now.Add(100 * time.Millisecond)
 		}
 	}
-	wait()
-	require.Equal(t, catkinrail.Prepare, w.state.View.Phase)
-	w.settle(time.Second)
-	require.Equal(t, catkinrail.Settled, w.state.View.Phase)
-	require.Equal(t, []catkinrail.InstanceID{a, b, c}, w.state.View.Base)
+	runWithoutHandover()
+	require.Equal(t, catkinrail.Prepare, h.state.View.Phase)
+	h.run(time.Second)
+	require.Equal(t, catkinrail.Settled, h.state.View.Phase)
+	require.Equal(t, []catkinrail.InstanceID{a, b, c}, h.state.View.Base)
 }
 
 func TestRequests(t *testing.T) {
-	w := newWorld(t)
+	h := newHarness(t)
 	create := &plan.Command{Request: "r1", Create: config("drawvault", "192.0.2.2:443")}
-	events, first, err := plan.Evaluate(w.state, create)
+	events, first, err := plan.Evaluate(h.state, create)
 	require.NoError(t, err)
-	w.apply(events)
-	version := w.state.Version
+	h.apply(events)
+	version := h.state.Version
 
-	t.Run("sent again", func(t *testing.T) {
-		events, again, err := plan.Evaluate(w.state, create)
+	t.Run("retry", func(t *testing.T) {
+		events, again, err := plan.Evaluate(h.state, create)
 		require.NoError(t, err)
 		require.Empty(t, events)
 		require.Equal(t, first, again)
 	})
-	t.Run("another command under the same identifier", func(t *testing.T) {
-		_, _, err := plan.Evaluate(w.state, &plan.Command{Request: "r1", Delete: new("drawvault")})
+	t.Run("identifier reused for another command", func(t *testing.T) {
+		_, _, err := plan.Evaluate(h.state, &plan.Command{Request: "r1", Delete: new("drawvault")})
 		require.ErrorIs(t, err, plan.ErrRequest)
 	})
-	t.Run("two operators race", func(t *testing.T) {
+	t.Run("concurrent changes", func(t *testing.T) {
 		a := &plan.Command{Request: "a", Expect: version, Delete: new("drawvault")}
 		b := &plan.Command{Request: "b", Expect: version, Change: config("drawvault", "192.0.2.2:443")}
-		events, _, err := plan.Evaluate(w.state, a)
+		events, _, err := plan.Evaluate(h.state, a)
 		require.NoError(t, err)
-		w.apply(events)
-		_, _, err = plan.Evaluate(w.state, b)
+		h.apply(events)
+		_, _, err = plan.Evaluate(h.state, b)
 		require.ErrorIs(t, err, plan.ErrConflict)
 	})
 	t.Run("reported as not run", func(t *testing.T) {
 		late := &plan.Command{Request: "late", Create: config("batch", "192.0.2.3:443")}
-		events, _, ran := plan.Outcome(w.state, "late")
+		events, _, ran := plan.Outcome(h.state, "late")
 		require.False(t, ran)
-		w.apply(events)
-		_, _, err := plan.Evaluate(w.state, late)
+		h.apply(events)
+		_, _, err := plan.Evaluate(h.state, late)
 		require.ErrorIs(t, err, plan.ErrVoid)
 	})
 	t.Run("address in quarantine", func(t *testing.T) {
-		_, _, err := plan.Evaluate(w.state, &plan.Command{Request: "q", Create: config("other", "192.0.2.2:443")})
+		_, _, err := plan.Evaluate(h.state, &plan.Command{Request: "q", Create: config("other", "192.0.2.2:443")})
 		require.ErrorIs(t, err, plan.ErrQuarantine)
-		w.register("entry-1", "kochi")
-		w.settle(time.Second)
-		_, _, err = plan.Evaluate(w.state, &plan.Command{Request: "q", Create: config("other", "192.0.2.2:443")})
+		h.register("entry-1", "kochi")
+		h.run(time.Second)
+		_, _, err = plan.Evaluate(h.state, &plan.Command{Request: "q", Create: config("other", "192.0.2.2:443")})
 		require.NoError(t, err)
 	})
-	t.Run("survives a snapshot", func(t *testing.T) {
-		clone, err := w.state.Clone()
+	t.Run("retry after a snapshot", func(t *testing.T) {
+		clone, err := h.state.Clone()
 		require.NoError(t, err)
 		_, again, err := plan.Evaluate(clone, create)
 		require.NoError(t, err)
@@ -369,11 +371,11 @@
 	})
 }
 
-func TestRefusedConfiguration(t *testing.T) {
+func TestInvalidConfiguration(t *testing.T) {
 	tests := []struct {
-		name  string
-		spoil func(c *catkinrail.ServiceConfig)
-		field string
+		name       string
+		invalidate func(c *catkinrail.ServiceConfig)
+		field      string
 	}{
 		{"name", func(c *catkinrail.ServiceConfig) { c.Name = "Log Book" }, "name"},
 		{"address", func(c *catkinrail.ServiceConfig) { c.Addr = netip.AddrPort{} }, "address"},
@@ -384,10 +386,10 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWorld(t)
+			h := newHarness(t)
 			cfg := config("drawvault", "192.0.2.2:443")
-			tt.spoil(cfg)
-			_, _, err := plan.Evaluate(w.state, &plan.Command{Request: "x", Create: cfg})
+			tt.invalidate(cfg)
+			_, _, err := plan.Evaluate(h.state, &plan.Command{Request: "x", Create: cfg})
 			require.ErrorIs(t, err, plan.ErrInvalid)
 			fields := catkinrail.FieldErrors(err)
 			require.Len(t, fields, 1)
@@ -397,62 +399,62 @@
 }
 
 func TestAnnouncements(t *testing.T) {
-	w := newWorld(t)
-	w.register("entry-1", "kochi")
-	w.announce(announcement("host-0", 1, 5))
-	w.announce(announcement("host-1", 1, 5))
-	w.settle(3 * time.Second)
+	h := newHarness(t)
+	h.register("entry-1", "kochi")
+	h.announce(announcement("host-0", 1, 5))
+	h.announce(announcement("host-1", 1, 5))
+	h.run(3 * time.Second)
 	ref := &plan.BackendRef{Service: logbook, Name: "host-0"}
-	w.command(&plan.Command{Drain: ref})
-	state := func() catkinrail.BackendState { return w.state.BackendByName(w.service().ID, "host-0").State }
+	h.command(&plan.Command{Drain: ref})
+	state := func() catkinrail.BackendState { return h.state.BackendByName(h.service().ID, "host-0").State }
 
-	w.announce(announcement("host-0", 1, 5))
+	h.announce(announcement("host-0", 1, 5))
 	require.Equal(t, catkinrail.BackendDraining, state(), "an announcement doesn't end an operator's drain")
-	version := w.state.Version
-	w.announce(announcement("host-0", 1, 4))
-	require.Equal(t, version, w.state.Version, "an earlier incarnation changes nothing")
-	w.announce(announcement("host-0", 1, 6))
+	version := h.state.Version
+	h.announce(announcement("host-0", 1, 4))
+	require.Equal(t, version, h.state.Version, "an earlier incarnation is ignored")
+	h.announce(announcement("host-0", 1, 6))
 	require.Equal(t, catkinrail.BackendDraining, state(), "a restart doesn't end an operator's drain")
-	w.command(&plan.Command{Readmit: ref})
+	h.command(&plan.Command{Readmit: ref})
 	require.Equal(t, catkinrail.BackendActive, state())
 }
 
-func TestEjectKeepsItsShare(t *testing.T) {
-	w := newWorld(t)
-	w.register("entry-1", "kochi")
+func TestEjectionIsLimited(t *testing.T) {
+	h := newHarness(t)
+	h.register("entry-1", "kochi")
 	for i := range 10 {
-		w.announce(announcement(fmt.Sprint("host-", i), 1, 1))
+		h.announce(announcement(fmt.Sprint("host-", i), 1, 1))
 	}
-	w.settle(3 * time.Second)
+	h.run(3 * time.Second)
 	var all []catkinrail.BackendID
-	for _, b := range w.state.BackendsOf(w.service().ID) {
+	for _, b := range h.state.BackendsOf(h.service().ID) {
 		all = append(all, b.ID)
 	}
-	w.apply(plan.Eject(w.state, all, nil))
+	h.apply(plan.Eject(h.state, all, nil))
 	ejected := 0
-	for _, b := range w.state.BackendsOf(w.service().ID) {
+	for _, b := range h.state.BackendsOf(h.service().ID) {
 		if b.State == catkinrail.BackendEjected {
 			ejected++
 		}
 	}
 	require.Equal(t, 3, ejected, "30 % of 10")
-	w.apply(plan.Eject(w.state, nil, all))
-	checkBalance(t, w.state, w.service())
+	h.apply(plan.Eject(h.state, nil, all))
+	checkBalance(t, h.state, h.service())
 }
 
 func TestSilentServersKeepTheirFlows(t *testing.T) {
-	w := newWorld(t)
-	w.register("entry-1", "kochi")
-	w.announce(announcement("host-0", 1, 1))
-	w.announce(announcement("host-1", 1, 1))
-	w.settle(3 * time.Second)
-	id := w.state.BackendByName(w.service().ID, "host-0").ID
-	w.apply(plan.Silence(w.state, []catkinrail.BackendID{id}))
-	require.False(t, plan.Gone(w.state, catkinrail.MakeSlotID(id, 0)))
-	w.announce(announcement("host-0", 1, 1))
-	require.Equal(t, catkinrail.BackendActive, w.state.Backends[id].State)
-	w.apply(plan.Expire(w.state, []catkinrail.BackendID{id}))
-	require.True(t, plan.Gone(w.state, catkinrail.MakeSlotID(id, 0)))
+	h := newHarness(t)
+	h.register("entry-1", "kochi")
+	h.announce(announcement("host-0", 1, 1))
+	h.announce(announcement("host-1", 1, 1))
+	h.run(3 * time.Second)
+	id := h.state.BackendByName(h.service().ID, "host-0").ID
+	h.apply(plan.Silence(h.state, []catkinrail.BackendID{id}))
+	require.False(t, plan.SlotEnded(h.state, catkinrail.MakeSlotID(id, 0)))
+	h.announce(announcement("host-0", 1, 1))
+	require.Equal(t, catkinrail.BackendActive, h.state.Backends[id].State)
+	h.apply(plan.Expire(h.state, []catkinrail.BackendID{id}))
+	require.True(t, plan.SlotEnded(h.state, catkinrail.MakeSlotID(id, 0)))
 }
 
 func TestStateRefusesGaps(t *testing.T) {
