--- a/coordination/overload/overload.go
+++ b/coordination/overload/overload.go
@@ -29,14 +29,14 @@
 // queued. It reports whether new flows should be refused. The time in which the
 // process was stalled doesn't count: the packets that arrived meanwhile may be
 // handled within moments.
-func (g *Gauge) Read(queued bool, now int64) (overloaded bool) {
-	stalled := now-g.lastRead > int64(stallThreshold)
-	g.lastRead = now
+func (d *Gauge) Read(queued bool, now int64) (overloaded bool) {
+	stalled := now-d.lastRead > int64(stallThreshold)
+	d.lastRead = now
 	switch {
 	case !queued:
-		g.queuedSince = 0
-	case g.queuedSince == 0 || stalled:
-		g.queuedSince = now
+		d.queuedSince = 0
+	case d.queuedSince == 0 || stalled:
+		d.queuedSince = now
 	}
-	return g.queuedSince != 0 && now-g.queuedSince > int64(queueGracePeriod)
+	return d.queuedSince != 0 && now-d.queuedSince > int64(queueGracePeriod)
 }
--- a/coordination/overload/overload_test.go
+++ b/coordination/overload/overload_test.go
@@ -11,7 +11,7 @@
 
 const ms = int64(time.Millisecond)
 
-func TestGauge(t *testing.T) {
+func TestDetector(t *testing.T) {
 	type read struct {
 		queued bool
 		at     int64
@@ -31,10 +31,10 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var g overload.Gauge
+			var d overload.Gauge
 			got := false
 			for _, r := range tt.reads {
-				got = g.Read(r.queued, r.at)
+				got = d.Read(r.queued, r.at)
 			}
 			require.Equal(t, tt.want, got)
 		})
--- a/coordination/overload/replay_test.go
+++ b/coordination/overload/replay_test.go
@@ -51,7 +51,7 @@
 // results counts the requests that were answered in time, and all requests.
 type results struct{ onOpenFlows, onNewFlows, total int }
 
-// replay simulates the load. With shed set, new flows are refused while the gauge
+// replay simulates the load. With shed set, new flows are refused while the detector
 // reports overload.
 func replay(shed bool) results {
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -81,7 +81,7 @@
 			})
 		}
 	}
-	var gauge overload.Gauge
+	var detector overload.Gauge
 	budget := 0.0
 	for now = 1; now < loadMS; now++ {
 		for _, f := range timers[now] {
@@ -97,7 +97,7 @@
 		if now%10 != 0 {
 			continue
 		}
-		overloaded := gauge.Read(len(queue) >= batchSize, int64(now)*ms)
+		overloaded := detector.Read(len(queue) >= batchSize, int64(now)*ms)
 		for budget += packetsPer10ms; budget >= 1 && len(queue) > 0; {
 			p := queue[0]
 			queue = queue[1:]
--- a/state/cluster/codec.go
+++ b/state/cluster/codec.go
@@ -106,7 +106,7 @@
 	return out.Bytes(), nil
 }
 
-// DecodePacked decodes the output of EncodePacked into v.
+// DecodePacked decodes an encoding, compressed or not, into v.
 func DecodePacked(b []byte, v any) error {
 	if len(b) == 0 || b[0] != compressedMark {
 		return Decode(b, v)
