--- a/control/core/core.go
+++ b/control/core/core.go
@@ -272,7 +272,7 @@
 func (c *Core) apply(e *quorum.Entry) error {
 	if e.Kind == quorum.EntryData {
 		var change cluster.Change
-		if err := cluster.DecodePacked(e.Data, &change); err != nil {
+		if err := cluster.DecodeCompressed(e.Data, &change); err != nil {
 			return err
 		}
 		if err := c.state.Apply(change); err != nil {
@@ -387,7 +387,7 @@
 		p.finish(Result{Answer: answer, Err: err})
 		return
 	}
-	data, err := cluster.EncodePacked(&cluster.Change{Version: c.state.Version + 1, Events: events})
+	data, err := cluster.EncodeCompressed(&cluster.Change{Version: c.state.Version + 1, Events: events})
 	if err != nil {
 		p.finish(Result{Err: err})
 		return
--- a/control/core/document_test.go
+++ b/control/core/document_test.go
@@ -262,11 +262,11 @@
 
 func TestPackedChangesAreRead(t *testing.T) {
 	big := doc(1, string(make([]byte, 100_000)))
-	data, err := cluster.EncodePacked(&cluster.Change{Version: 1, Events: []cluster.Event{{DocumentPut: big}}})
+	data, err := cluster.EncodeCompressed(&cluster.Change{Version: 1, Events: []cluster.Event{{DocumentPut: big}}})
 	require.NoError(t, err)
 	require.Less(t, len(data), 10_000)
 	var change cluster.Change
-	require.NoError(t, cluster.DecodePacked(data, &change))
+	require.NoError(t, cluster.DecodeCompressed(data, &change))
 	require.Equal(t, big, change.Events[0].DocumentPut)
-	require.Error(t, cluster.DecodePacked(data[:len(data)/2], &change))
+	require.Error(t, cluster.DecodeCompressed(data[:len(data)/2], &change))
 }
--- a/control/document/store.go
+++ b/control/document/store.go
@@ -88,7 +88,7 @@
 		return errNoLeader
 	}
 	// The change is packed as in the log.
-	body, err := cluster.EncodePacked(&cluster.Change{Events: []cluster.Event{{DocumentPut: d}}})
+	body, err := cluster.EncodeCompressed(&cluster.Change{Events: []cluster.Event{{DocumentPut: d}}})
 	if err != nil {
 		return err
 	}
--- a/control/entry/server.go
+++ b/control/entry/server.go
@@ -115,7 +115,7 @@
 		return nil, drpcerr.WithCode(err, uint64(api.Code_FORBIDDEN))
 	}
 	var change cluster.Change
-	if err := cluster.DecodePacked(f.GetBody(), &change); err != nil {
+	if err := cluster.DecodeCompressed(f.GetBody(), &change); err != nil {
 		return nil, drpcerr.WithCode(err, uint64(api.Code_INVALID))
 	}
 	if len(change.Events) != 1 || change.Events[0].DocumentPut == nil {
@@ -142,7 +142,7 @@
 	if err := open(ctx, f, &g, rpc.RoleControl); err != nil {
 		return nil, err
 	}
-	body, err := cluster.EncodePacked(s.dir.Gossip(&g))
+	body, err := cluster.EncodeCompressed(s.dir.Gossip(&g))
 	if err != nil {
 		return nil, err
 	}
@@ -165,7 +165,7 @@
 	if err := rpc.RequireRole(ctx, roles...); err != nil {
 		return drpcerr.WithCode(err, uint64(api.Code_FORBIDDEN))
 	}
-	if err := cluster.DecodePacked(f.GetBody(), v); err != nil {
+	if err := cluster.DecodeCompressed(f.GetBody(), v); err != nil {
 		return drpcerr.WithCode(err, uint64(api.Code_INVALID))
 	}
 	return nil
--- a/control/follow/feed_test.go
+++ b/control/follow/feed_test.go
@@ -30,7 +30,7 @@
 
 func decode(t require.TestingT, body []byte) *message.FollowUpdate {
 	var u message.FollowUpdate
-	require.NoError(t, cluster.DecodePacked(body, &u))
+	require.NoError(t, cluster.DecodeCompressed(body, &u))
 	return &u
 }
 
--- a/control/gossip/peer.go
+++ b/control/gossip/peer.go
@@ -143,7 +143,7 @@
 }
 
 func (d *Directory) call(ctx context.Context, client *rpc.Client, p *peer, g *message.Gossip) error {
-	body, err := cluster.EncodePacked(g)
+	body, err := cluster.EncodeCompressed(g)
 	if err != nil {
 		return catkinrail.At(err, "gossip", p.addr)
 	}
@@ -153,7 +153,7 @@
 		if err != nil {
 			return err
 		}
-		return cluster.DecodePacked(f.GetBody(), &reply)
+		return cluster.DecodeCompressed(f.GetBody(), &reply)
 	})
 	if err != nil {
 		return err
--- a/coordination/overload/overload.go
+++ b/coordination/overload/overload.go
@@ -15,9 +15,9 @@
 	stallThreshold = 2 * time.Second
 )
 
-// Gauge tracks how long packets have been queued in front of an instance. The zero
+// Detector tracks how long packets have been queued in front of an instance. The zero
 // value has seen no queue.
-type Gauge struct {
+type Detector struct {
 	// queuedSince is the time, in nanoseconds, of the first read in an unbroken
 	// series that left packets queued; zero if the last read left none.
 	queuedSince int64
@@ -25,11 +25,11 @@
 	lastRead int64
 }
 
-// Read records a read at time now, in nanoseconds, and whether it left packets
+// ObserveRead records a read at time now, in nanoseconds, and whether it left packets
 // queued. It reports whether new flows should be refused. The time in which the
 // process was stalled doesn't count: the packets that arrived meanwhile may be
 // handled within moments.
-func (d *Gauge) Read(queued bool, now int64) (overloaded bool) {
+func (d *Detector) ObserveRead(queued bool, now int64) (overloaded bool) {
 	stalled := now-d.lastRead > int64(stallThreshold)
 	d.lastRead = now
 	switch {
--- a/coordination/overload/overload_test.go
+++ b/coordination/overload/overload_test.go
@@ -31,10 +31,10 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var d overload.Gauge
+			var d overload.Detector
 			got := false
 			for _, r := range tt.reads {
-				got = d.Read(r.queued, r.at)
+				got = d.ObserveRead(r.queued, r.at)
 			}
 			require.Equal(t, tt.want, got)
 		})
--- a/coordination/overload/replay_test.go
+++ b/coordination/overload/replay_test.go
@@ -81,7 +81,7 @@
 			})
 		}
 	}
-	var detector overload.Gauge
+	var detector overload.Detector
 	budget := 0.0
 	for now = 1; now < loadMS; now++ {
 		for _, f := range timers[now] {
@@ -97,7 +97,7 @@
 		if now%10 != 0 {
 			continue
 		}
-		overloaded := detector.Read(len(queue) >= batchSize, int64(now)*ms)
+		overloaded := detector.ObserveRead(len(queue) >= batchSize, int64(now)*ms)
 		for budget += packetsPer10ms; budget >= 1 && len(queue) > 0; {
 			p := queue[0]
 			queue = queue[1:]
--- a/coordination/plan/members.go
+++ b/coordination/plan/members.go
@@ -284,9 +284,9 @@
 	return []cluster.Event{{InstancePut: &put}}
 }
 
-// Left returns the events that remove an entry instance which has completed its
+// CompleteLeave returns the events that remove an entry instance which has completed its
 // graceful shutdown.
-func Left(s *cluster.State, id catkinrail.InstanceID) []cluster.Event {
+func CompleteLeave(s *cluster.State, id catkinrail.InstanceID) []cluster.Event {
 	d := &draft{state: s}
 	d.removeInstances([]catkinrail.InstanceID{id})
 	return d.events
@@ -358,10 +358,10 @@
 	d.add(cluster.Event{ViewSet: &v})
 }
 
-// Exceptions returns the events that make every instance look up the flows of settled
+// PrepareExceptions returns the events that make every instance look up the flows of settled
 // buckets in which a partitioned zone placed flows on other slots. They prepare a move
 // of each bucket to its current slot.
-func Exceptions(s *cluster.State, service catkinrail.ServiceID, buckets []uint32) []cluster.Event {
+func PrepareExceptions(s *cluster.State, service catkinrail.ServiceID, buckets []uint32) []cluster.Event {
 	svc := s.Services[service]
 	if svc == nil {
 		return nil
@@ -387,9 +387,9 @@
 	return d.events
 }
 
-// Silence returns the events that eject backend servers which stopped announcing
+// EjectSilent returns the events that eject backend servers which stopped announcing
 // themselves. They take no new flows but keep their open ones.
-func Silence(s *cluster.State, ids []catkinrail.BackendID) []cluster.Event {
+func EjectSilent(s *cluster.State, ids []catkinrail.BackendID) []cluster.Event {
 	d := &draft{state: s}
 	byService := map[catkinrail.ServiceID][]*catkinrail.Backend{}
 	for _, id := range ids {
--- a/coordination/plan/plan_test.go
+++ b/coordination/plan/plan_test.go
@@ -24,7 +24,7 @@
 	state        *cluster.State
 	now          time.Time
 	planner      *plan.Planner
-	lastReported map[catkinrail.InstanceID]plan.Member
+	lastReported map[catkinrail.InstanceID]plan.InstanceStatus
 	// serial numbers requests and incarnations of entry instances.
 	serial int
 }
@@ -80,12 +80,12 @@
 
 // upToDate returns the status of all entry instances, with the latest version. Those
 // without a lease keep what they reported last.
-func (h *harness) upToDate(unleased ...catkinrail.InstanceID) map[catkinrail.InstanceID]plan.Member {
-	m := map[catkinrail.InstanceID]plan.Member{}
+func (h *harness) upToDate(unleased ...catkinrail.InstanceID) map[catkinrail.InstanceID]plan.InstanceStatus {
+	m := map[catkinrail.InstanceID]plan.InstanceStatus{}
 	for id := range h.state.Instances {
-		m[id] = plan.Member{Leased: true, Version: h.state.Version, Synced: h.state.Version}
+		m[id] = plan.InstanceStatus{Leased: true, Version: h.state.Version, Synced: h.state.Version}
 		if slices.Contains(unleased, id) {
-			m[id] = plan.Member{Version: h.lastReported[id].Version, Synced: h.lastReported[id].Synced}
+			m[id] = plan.InstanceStatus{Version: h.lastReported[id].Version, Synced: h.lastReported[id].Synced}
 		}
 	}
 	h.lastReported = m
@@ -306,7 +306,7 @@
 	runWithoutHandover := func() {
 		for range 20 {
 			m := h.upToDate()
-			m[b] = plan.Member{Leased: true, Version: h.state.Version}
+			m[b] = plan.InstanceStatus{Leased: true, Version: h.state.Version}
 			h.planner.Observe(m)
 			h.apply(h.planner.Next(h.state, h.now))
 			h.now = h.now.Add(100 * time.Millisecond)
@@ -335,7 +335,7 @@
 	})
 	t.Run("identifier reused for another command", func(t *testing.T) {
 		_, _, err := plan.Evaluate(h.state, &plan.Command{Request: "r1", Delete: new("drawvault")})
-		require.ErrorIs(t, err, plan.ErrRequest)
+		require.ErrorIs(t, err, plan.ErrRequestReused)
 	})
 	t.Run("concurrent changes", func(t *testing.T) {
 		a := &plan.Command{Request: "a", Expect: version, Delete: new("drawvault")}
@@ -352,7 +352,7 @@
 		require.False(t, ran)
 		h.apply(events)
 		_, _, err := plan.Evaluate(h.state, late)
-		require.ErrorIs(t, err, plan.ErrVoid)
+		require.ErrorIs(t, err, plan.ErrReportedNotRun)
 	})
 	t.Run("address in quarantine", func(t *testing.T) {
 		_, _, err := plan.Evaluate(h.state, &plan.Command{Request: "q", Create: config("other", "192.0.2.2:443")})
@@ -449,7 +449,7 @@
 	h.announce(announcement("host-1", 1, 1))
 	h.run(3 * time.Second)
 	id := h.state.BackendByName(h.service().ID, "host-0").ID
-	h.apply(plan.Silence(h.state, []catkinrail.BackendID{id}))
+	h.apply(plan.EjectSilent(h.state, []catkinrail.BackendID{id}))
 	require.False(t, plan.SlotEnded(h.state, catkinrail.MakeSlotID(id, 0)))
 	h.announce(announcement("host-0", 1, 1))
 	require.Equal(t, catkinrail.BackendActive, h.state.Backends[id].State)
--- a/coordination/plan/planner.go
+++ b/coordination/plan/planner.go
@@ -27,8 +27,8 @@
 // unreachable, all leases end within this time, so that none counts as lost alone.
 const lossGrace = 500 * time.Millisecond
 
-// Member is what the leader knows of an entry instance.
-type Member struct {
+// InstanceStatus is what the leader knows of an entry instance.
+type InstanceStatus struct {
 	// Leased is set while the instance may hold a lease.
 	Leased bool
 	// Version is the configuration version that the instance acknowledged.
@@ -42,9 +42,9 @@
 
 // Busy is an entry instance's report of why a move can't settle yet.
 type Busy struct {
-	// Unrecorded is the time since a packet without a record was sent to the
+	// UnrecordedAge is the time since a packet without a record was sent to the
 	// current slot of one of the move's buckets.
-	Unrecorded time.Duration `cbor:"1,keyasint,omitempty"`
+	UnrecordedAge time.Duration `cbor:"1,keyasint,omitempty"`
 	// SawUnrecorded is set if there was such a packet.
 	SawUnrecorded bool `cbor:"2,keyasint,omitempty"`
 	// Elsewhere is set while a record of one of the move's buckets names a slot
@@ -55,7 +55,7 @@
 // Planner advances moves and views. It belongs to one leader for one term and
 // keeps only observations; what must outlast the term is in the cluster state.
 type Planner struct {
-	instances map[catkinrail.InstanceID]Member
+	instances map[catkinrail.InstanceID]InstanceStatus
 	// inForceSince is the time at which a move's version was first seen to be in
 	// force on every entry instance.
 	inForceSince map[moveStep]time.Time
@@ -89,7 +89,7 @@
 // NewPlanner returns a planner without observations.
 func NewPlanner() *Planner {
 	return &Planner{
-		instances:       map[catkinrail.InstanceID]Member{},
+		instances:       map[catkinrail.InstanceID]InstanceStatus{},
 		inForceSince:    map[moveStep]time.Time{},
 		lastUnrecorded:  map[uint64]time.Time{},
 		unassignedSince: map[catkinrail.ServiceID]time.Time{},
@@ -100,7 +100,7 @@
 }
 
 // Observe replaces the status of all entry instances.
-func (p *Planner) Observe(instances map[catkinrail.InstanceID]Member) {
+func (p *Planner) Observe(instances map[catkinrail.InstanceID]InstanceStatus) {
 	p.instances = instances
 }
 
@@ -417,7 +417,7 @@
 			return false
 		}
 		if busy.SawUnrecorded {
-			at := now.Add(-busy.Unrecorded)
+			at := now.Add(-busy.UnrecordedAge)
 			if at.After(last) {
 				last = at
 			}
--- a/entry/follow/session.go
+++ b/entry/follow/session.go
@@ -56,7 +56,7 @@
 				return err
 			}
 			var u message.FollowUpdate
-			if err := cluster.DecodePacked(f.GetBody(), &u); err != nil {
+			if err := cluster.DecodeCompressed(f.GetBody(), &u); err != nil {
 				return err
 			}
 			s.take(&u)
--- a/fake/entry.go
+++ b/fake/entry.go
@@ -151,21 +151,21 @@
 	}
 	sent := e.local()
 	have := e.Engine.Version()
-	report := plan.Member{Version: have, Synced: e.Engine.Synced(), Busy: e.Engine.Busy(e.local())}
+	report := plan.InstanceStatus{Version: have, Synced: e.Engine.Synced(), Busy: e.Engine.Busy(e.local())}
 	exceptions := e.Engine.Exceptions()
 	n.after(n.jitter(zoneDelay), func() { n.answerHeartbeat(e, sent, report, exceptions) })
 }
 
-func (n *Net) answerHeartbeat(e *Entry, sent int64, report plan.Member, exceptions map[catkinrail.ServiceID][]uint32) {
+func (n *Net) answerHeartbeat(e *Entry, sent int64, report plan.InstanceStatus, exceptions map[catkinrail.ServiceID][]uint32) {
 	if n.State.Instances[e.ID] == nil {
 		e.expelled()
 		return
 	}
 	if e.leaving && e.Engine.Released() {
-		n.Apply(plan.Left(n.State, e.ID))
+		n.Apply(plan.CompleteLeave(n.State, e.ID))
 	}
 	for _, id := range cluster.SortedKeys(exceptions) {
-		n.Apply(plan.Exceptions(n.State, id, exceptions[id]))
+		n.Apply(plan.PrepareExceptions(n.State, id, exceptions[id]))
 	}
 	changes := n.log[report.Version:]
 	n.Stats.ControlBytes += controlOverhead + uint64(n.size(changes)) + uint64(16*len(report.Busy))
--- a/state/cluster/codec.go
+++ b/state/cluster/codec.go
@@ -85,8 +85,8 @@
 	maxDecompressed = 64 << 20
 )
 
-// EncodePacked returns the encoding of v, compressed if it is large.
-func EncodePacked(v any) ([]byte, error) {
+// EncodeCompressed returns the encoding of v, compressed if it is large.
+func EncodeCompressed(v any) ([]byte, error) {
 	b, err := Encode(v)
 	if err != nil || len(b) < minCompressSize {
 		return b, err
@@ -106,8 +106,8 @@
 	return out.Bytes(), nil
 }
 
-// DecodePacked decodes an encoding, compressed or not, into v.
-func DecodePacked(b []byte, v any) error {
+// DecodeCompressed decodes an encoding, compressed or not, into v.
+func DecodeCompressed(b []byte, v any) error {
 	if len(b) == 0 || b[0] != compressedMark {
 		return Decode(b, v)
 	}
