--- a/control/core/core.go
+++ b/control/core/core.go
@@ -320,8 +320,8 @@
 
 // compact replaces a long log by a snapshot.
 func (c *Core) compact() error {
-	applied := c.node.Applied()
-	if !c.cfg.Journal.Full() && c.node.LastIndex()-c.firstIndex() < maxEntries {
+	applied := c.node.AppliedIndex()
+	if !c.cfg.Journal.NeedsSnapshot() && c.node.LastIndex()-c.firstIndex() < maxEntries {
 		return nil
 	}
 	if applied == c.firstIndex() {
@@ -332,7 +332,7 @@
 		return err
 	}
 	s := c.node.Snapshot(data)
-	if err := c.cfg.Journal.SaveSnapshot(s, c.node.After(applied)); err != nil {
+	if err := c.cfg.Journal.SaveSnapshot(s, c.node.EntriesAfter(applied)); err != nil {
 		return err
 	}
 	c.node.Compact(s)
@@ -340,7 +340,7 @@
 }
 
 func (c *Core) firstIndex() uint64 {
-	return c.node.FirstIndex()
+	return c.node.SnapshotIndex()
 }
 
 // work does what the leader has to do: propose the next change and advance
--- a/control/core/leader.go
+++ b/control/core/leader.go
@@ -191,7 +191,7 @@
 		return reply, nil
 	}
 	c.leader.note(c, hb, now)
-	reply.Changes, reply.State = c.since(hb.Have)
+	reply.Changes, reply.State = c.since(hb.StateVersion)
 	return reply, nil
 }
 
@@ -203,8 +203,8 @@
 		l.members[hb.ID] = e
 	}
 	e.until = max(e.until, now+l.leaseSpan(c))
-	e.member = plan.InstanceStatus{Version: hb.Have, Synced: hb.Synced, Busy: hb.Busy}
-	if hb.Have >= c.state.Version {
+	e.member = plan.InstanceStatus{Version: hb.StateVersion, Synced: hb.Synced, Busy: hb.Busy}
+	if hb.StateVersion >= c.state.Version {
 		e.current = now
 	}
 	if hb.Leaving && !e.leaving {
@@ -368,14 +368,14 @@
 func (c *Core) status() *Status {
 	now := c.now()
 	s := &Status{
-		Term: c.node.Term(), Commit: c.node.Commit(), Node: c.node.ID(), Members: c.node.Members(),
+		Term: c.node.Term(), Commit: c.node.CommitIndex(), Node: c.node.ID(), Members: c.node.Members(),
 		Match: map[quorum.NodeID]uint64{}, Leading: c.leader.active,
 		Entries: map[catkinrail.InstanceID]EntryStatus{},
 		Burn:    map[catkinrail.ServiceID][]burn.Report{},
 	}
 	s.Leader = s.Members.Nodes[c.node.LeaderID()].Name
 	for id := range s.Members.Nodes {
-		s.Match[id] = c.node.Match(id)
+		s.Match[id] = c.node.MatchIndex(id)
 	}
 	s.Match[c.node.ID()] = c.node.LastIndex()
 	for id, e := range c.leader.members {
--- a/control/gossip/gossip.go
+++ b/control/gossip/gossip.go
@@ -132,7 +132,7 @@
 
 func (d *Directory) logIncarnation(inc *catkinrail.Incarnation, text, from string) {
 	d.cfg.Log.Info().Str("backend", inc.Name).Str("service", inc.Service).Stringer("address", inc.Addr).
-		Str("zone", string(inc.Zone)).Int64("born", inc.Born).Uint64("sequence", inc.Sequence).
+		Str("zone", string(inc.Zone)).Int64("born", inc.StartedAt).Uint64("sequence", inc.Sequence).
 		Bool("draining", inc.Draining).Bool("gone", inc.Gone).Str("from", from).Msg(text)
 }
 
@@ -143,8 +143,8 @@
 	now := d.now()
 	d.merge(g.Changed, "gossip", now)
 	r := &message.GossipReply{}
-	for _, p := range g.Pulses {
-		if !d.dir.Pulse(p.Name, p.Born, p.Sequence, p.Draining, now) {
+	for _, p := range g.Renewals {
+		if !d.dir.Renew(p.Name, p.StartedAt, p.Sequence, p.Draining, now) {
 			r.Differs = true
 		}
 	}
@@ -228,7 +228,7 @@
 	now := d.now()
 	if held := now - d.ticked; d.ticked != 0 && held > int64(stallTime) {
 		d.cfg.Log.Info().Int64("held-ms", held/1e6).Msg("process was held up")
-		d.dir.Shift(held)
+		d.dir.CompensatePause(held)
 	}
 	d.ticked = now
 	if d.partial() {
--- a/coordination/plan/forget.go
+++ b/coordination/plan/forget.go
@@ -25,7 +25,7 @@
 		if p.endedSince[id].IsZero() {
 			p.endedSince[id] = now
 		}
-		if now.Sub(p.endedSince[id]) > catkinrail.KeepEnded && len(due) < maxRemoved {
+		if now.Sub(p.endedSince[id]) > catkinrail.EndedRetention && len(due) < maxRemoved {
 			due = append(due, b)
 		}
 	}
--- a/coordination/plan/forget_test.go
+++ b/coordination/plan/forget_test.go
@@ -28,7 +28,7 @@
 	h.apply(plan.Expire(h.state, []catkinrail.BackendID{byName("host-1").ID, byName("host-2").ID}))
 	h.run(30 * time.Second)
 	require.Len(t, h.state.Backends, 24)
-	h.now = h.now.Add(catkinrail.KeepEnded)
+	h.now = h.now.Add(catkinrail.EndedRetention)
 	h.run(time.Second)
 	require.Len(t, h.state.Backends, 3, "host-0, host-1 and host-3")
 	require.Nil(t, byName("host-2"))
@@ -57,7 +57,7 @@
 	h.run(3 * time.Second)
 	h.apply(plan.Expire(h.state, ended))
 	h.run(30 * time.Second)
-	h.now = h.now.Add(catkinrail.KeepEnded)
+	h.now = h.now.Add(catkinrail.EndedRetention)
 	h.run(time.Second)
 	require.Len(t, h.state.Backends, drained+1)
 }
--- a/coordination/plan/members.go
+++ b/coordination/plan/members.go
@@ -78,11 +78,11 @@
 func (d *draft) admit(svc *catkinrail.Service, old *catkinrail.Backend, a *Announcement) {
 	b := &catkinrail.Backend{
 		ID: d.state.LastBackend + 1, Name: a.Name, Service: svc.ID, Zone: a.Zone,
-		Slots: a.Slots, Incarnation: a.Incarnation, Weight: announcedWeight(a), Full: announcedWeight(a),
+		Slots: a.Slots, Incarnation: a.Incarnation, Weight: announcedWeight(a), FullWeight: announcedWeight(a),
 	}
 	if d.serving(svc) {
 		// A cold backend server starts with a part of its weight.
-		b.Weight = max(b.Full/rampSteps, 1)
+		b.Weight = max(b.FullWeight/rampSteps, 1)
 	}
 	b.Drained = old != nil && old.Drained
 	b.State = announcedState(b, a)
@@ -131,14 +131,14 @@
 // that was out of contact for a while without restarting still has its flows.
 func (d *draft) refresh(svc *catkinrail.Service, old *catkinrail.Backend, a *Announcement) {
 	put := *old
-	if full := announcedWeight(a); full != old.Full {
-		put.Weight, put.Full = full, full
+	if full := announcedWeight(a); full != old.FullWeight {
+		put.Weight, put.FullWeight = full, full
 	}
 	put.Silent = false
 	if old.State != catkinrail.BackendEjected || old.Silent {
 		put.State = announcedState(&put, a)
 	}
-	if put.State == old.State && put.Full == old.Full {
+	if put.State == old.State && put.FullWeight == old.FullWeight {
 		return
 	}
 	d.putBackend(svc, &put)
--- a/coordination/plan/planner.go
+++ b/coordination/plan/planner.go
@@ -146,7 +146,7 @@
 	due := map[catkinrail.ServiceID][]*catkinrail.Backend{}
 	for _, id := range cluster.SortedKeys(d.state.Backends) {
 		b := d.state.Backends[id]
-		if b.Weight >= b.Full || b.State != catkinrail.BackendActive {
+		if b.Weight >= b.FullWeight || b.State != catkinrail.BackendActive {
 			delete(p.weightSince, id)
 			continue
 		}
@@ -158,7 +158,7 @@
 		}
 		delete(p.weightSince, id)
 		put := *b
-		put.Weight = min(b.Weight+max(b.Full/rampSteps, 1), b.Full)
+		put.Weight = min(b.Weight+max(b.FullWeight/rampSteps, 1), b.FullWeight)
 		d.add(cluster.Event{BackendPut: &put})
 		due[b.Service] = append(due[b.Service], &put)
 	}
--- a/entry/packet/worker.go
+++ b/entry/packet/worker.go
@@ -82,7 +82,7 @@
 		arena: make([]byte, 0, arenaSize),
 	}
 	r.Do(func(e *token.Engine, _ int64) {
-		e.Observe(&times{
+		e.SetObserver(&times{
 			handshake: metricspage.Histogram("handshake", reg), answer: metricspage.Histogram("answer", reg),
 		})
 	})
--- a/fake/entry.go
+++ b/fake/entry.go
@@ -116,7 +116,7 @@
 	e.act(func() { e.sendAll(e.Engine.Tick(e.local())) })
 }
 
-func (e *Entry) sendAll(list []route.Send) {
+func (e *Entry) sendAll(list []route.Outgoing) {
 	for _, s := range list {
 		e.net.Stats.ControlBytes += uint64(relay.Overhead + len(s.Payload) + 48)
 		e.transmit(s.To, func(to *Entry) {
@@ -215,7 +215,7 @@
 func (e *Entry) packet(p packet) {
 	e.act(func() {
 		h := ip.Header{Key: p.flow.key, Flags: p.flags}
-		e.carryOut(e.Engine.Packet(&h, e.local()), p)
+		e.carryOut(e.Engine.HandlePacket(&h, e.local()), p)
 	})
 }
 
@@ -237,7 +237,7 @@
 		}
 		e.transmit(to.ID, func(to *Entry) {
 			h := ip.Header{Key: p.flow.key, Flags: p.flags}
-			to.carryOut(to.Engine.Relayed(&v.Message, &h, to.local()), p)
+			to.carryOut(to.Engine.HandleRelayed(&v.Message, &h, to.local()), p)
 		})
 	}
 }
