--- a/control/gossip/gossip.go
+++ b/control/gossip/gossip.go
@@ -1,5 +1,5 @@
-// Package gossip keeps the directory of backend servers in step with the other
-// control instances, without a leader and beside a stalled disk.
+// Package gossip synchronizes the directory of backend servers with the other
+// control instances. It needs no leader, and goes on while the disk is stalled.
 package gossip
 
 import (
@@ -18,30 +18,34 @@
 	"catkinrail.example/catkinrail/transport/rpc"
 )
 
-// Timing.
+// Intervals and timeouts.
 const (
-	// settleTime lets changes that come together travel together.
-	settleTime = 5 * time.Millisecond
-	// pulseInterval is the time between two messages that only renew; a tenth of
-	// the usual bound on a draining server.
-	pulseInterval = 300 * time.Millisecond
-	// digestInterval is the time between two comparisons of directories.
+	// batchDelay is the time between a change and its sending, so that changes
+	// that come together are sent in one message.
+	batchDelay = 5 * time.Millisecond
+	// renewalInterval is the time between two messages that only renew reports: a
+	// tenth of the usual time within which a draining backend server must stop
+	// getting new flows.
+	renewalInterval = 300 * time.Millisecond
+	// digestInterval is the time between two comparisons of digests with a peer.
 	digestInterval = 2 * time.Second
-	// callTimeout bounds a call, so that a silent connection is replaced well
-	// within the bound on a draining server.
+	// callTimeout bounds a call, so that a dead connection is replaced well within
+	// that time.
 	callTimeout = 600 * time.Millisecond
-	// manageInterval is the time between two looks at who the peers are.
-	manageInterval = 300 * time.Millisecond
-	// tickInterval is the time between two looks for silent backend servers.
+	// peerRefreshInterval is the time between two updates of the list of peers.
+	peerRefreshInterval = 300 * time.Millisecond
+	// tickInterval is the time between two checks for silent backend servers.
 	tickInterval = 100 * time.Millisecond
-	// stallTime is the delay of a tick from which this process was held up
-	// rather than the backend servers silent.
-	stallTime = 500 * time.Millisecond
-	// logInterval is the least time between two lines about renewals.
-	logInterval = 10 * time.Second
+	// stallThreshold is the time between two ticks above which this process is
+	// assumed to have been paused, so that missing reports aren't held against
+	// the backend servers.
+	stallThreshold = 500 * time.Millisecond
+	// saveLogInterval is the least time between two log lines about failures to
+	// save the directory.
+	saveLogInterval = 10 * time.Second
 )
 
-// Config is what a Directory is made of.
+// Config holds the settings and dependencies of a Directory.
 type Config struct {
 	Self  quorum.Peer
 	Clock catkinrail.Clock
@@ -51,9 +55,9 @@
 	// Seeds returns addresses of control instances that may not be members yet.
 	Seeds  func() []string
 	Silent time.Duration
-	// Members returns the members that this instance knows; it must not wait.
+	// Members returns the members that this instance knows; it must not block.
 	Members func() *quorum.Members
-	// Dir keeps the directory on disk; nil for none.
+	// Dir is where the directory is saved; nil disables saving.
 	Dir catkinrail.Dir
 }
 
@@ -66,16 +70,17 @@
 	peers map[string]*peer
 	// changed is closed and replaced after each change.
 	changed chan struct{}
-	ticked  int64
-	// exchanged is set once a peer has told its whole directory.
+	// lastTick is the time of the last tick; zero before the first.
+	lastTick int64
+	// exchanged is set once this instance has received a peer's whole directory.
 	exchanged bool
-	// managed is set once the peers are known.
-	managed bool
+	// peersKnown is set once the list of peers has been read for the first time.
+	peersKnown bool
 }
 
 var _ catkinrail.BackendRegistry = (*Directory)(nil)
 
-// New returns a directory with what was saved on disk.
+// New returns a directory that is restored from disk if it has been saved.
 func New(cfg Config) *Directory {
 	d := &Directory{cfg: cfg, dir: directory.New(cfg.Silent), peers: map[string]*peer{}, changed: make(chan struct{})}
 	d.load()
@@ -86,8 +91,8 @@
 	return d.cfg.Clock.Now().UnixNano()
 }
 
-// wake tells everyone who waits that something has changed. The caller holds mu.
-func (d *Directory) wake() {
+// notifyChange wakes all goroutines that wait for a change. The caller holds mu.
+func (d *Directory) notifyChange() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
@@ -99,14 +104,15 @@
 	outcome := d.dir.Report(inc, d.now(), true)
 	if outcome == directory.Changed {
 		d.logIncarnation(inc, "backend server changed", d.cfg.Self.Name)
-		d.wake()
+		d.notifyChange()
 	}
-	return d.nearest(inc.Zone)
+	return d.controlInZone(inc.Zone)
 }
 
-// nearest returns the control instance of a zone that its backend servers
-// should report to; invalid if this one is as good. The caller holds mu.
-func (d *Directory) nearest(zone catkinrail.Zone) netip.AddrPort {
+// controlInZone returns the address of the control instance that backend servers
+// of a zone should report to. It is invalid if this instance is in the zone itself
+// or can reach none there. The caller holds mu.
+func (d *Directory) controlInZone(zone catkinrail.Zone) netip.AddrPort {
 	if d.cfg.Self.Zone == string(zone) {
 		return netip.AddrPort{}
 	}
@@ -126,7 +132,7 @@
 	defer d.mu.Unlock()
 	if d.dir.Leave(name, born, d.now()) == directory.Changed {
 		d.cfg.Log.Info().Str("backend", name).Int64("born", born).Msg("backend server left")
-		d.wake()
+		d.notifyChange()
 	}
 }
 
@@ -136,7 +142,7 @@
 		Bool("draining", inc.Draining).Bool("gone", inc.Gone).Str("from", from).Msg(text)
 }
 
-// Gossip takes what another control instance tells.
+// Gossip handles a message from another control instance and returns the reply.
 func (d *Directory) Gossip(g *message.Gossip) *message.GossipReply {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -153,22 +159,22 @@
 	}
 	if g.Full {
 		r.All = d.dir.All(now)
-		d.exchangedWhole()
+		d.markExchanged()
 	}
 	return r
 }
 
-// exchangedWhole notes that a peer has told its whole directory. The caller holds
-// mu.
-func (d *Directory) exchangedWhole() {
+// markExchanged records that a peer's whole directory was received. The caller
+// holds mu.
+func (d *Directory) markExchanged() {
 	if d.exchanged {
 		return
 	}
 	d.exchanged = true
-	d.wake()
+	d.notifyChange()
 }
 
-// merge takes incarnations that another instance has passed on. The caller
+// merge applies incarnations that another instance has forwarded. The caller
 // holds mu.
 func (d *Directory) merge(list []catkinrail.Incarnation, from string, now int64) {
 	changed := false
@@ -179,36 +185,37 @@
 		}
 	}
 	if changed {
-		d.wake()
+		d.notifyChange()
 	}
 }
 
-// Since returns what has changed after a revision, the revision of the last change,
-// and a channel that is closed at the next change.
+// Since returns the incarnations that changed after a revision, the revision of the
+// last change, and a channel that is closed at the next change.
 func (d *Directory) Since(revision uint64) (list []directory.View, at uint64, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.dir.Since(revision, d.now()), d.dir.LastChange(), d.changed
 }
 
-// Complete reports whether the directory holds what the others knew when this
-// instance started: it has exchanged it with one of them, or is alone.
+// Complete reports whether the directory holds what the other control instances
+// knew when this one started: it has received the whole directory of one of them,
+// or has no peers.
 func (d *Directory) Complete() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.exchanged || (d.managed && len(d.peers) == 0)
+	return d.exchanged || (d.peersKnown && len(d.peers) == 0)
 }
 
-// Start runs the directory in the group.
+// Start runs the directory's goroutines in the group until ctx ends.
 func (d *Directory) Start(ctx context.Context) {
-	d.cfg.Group.Go(func() error { return d.manage(ctx) })
+	d.cfg.Group.Go(func() error { return d.managePeers(ctx) })
 	d.cfg.Group.Go(func() error { return d.tick(ctx) })
 	if d.cfg.Dir != nil {
 		d.cfg.Group.Go(func() error { return d.save(ctx) })
 	}
 }
 
-// tick looks for backend servers that have fallen silent.
+// tick checks for silent backend servers at an interval, until ctx ends.
 func (d *Directory) tick(ctx context.Context) error {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
@@ -217,33 +224,35 @@
 		case <-ctx.Done():
 			return nil
 		case <-t.C:
-			d.judge()
+			d.checkSilence()
 		}
 	}
 }
 
-func (d *Directory) judge() {
+// checkSilence marks the backend servers that have not reported in time, except
+// while a member can't be reached. A pause of this process is not counted.
+func (d *Directory) checkSilence() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	if held := now - d.ticked; d.ticked != 0 && held > int64(stallTime) {
-		d.cfg.Log.Info().Int64("held-ms", held/1e6).Msg("process was held up")
-		d.dir.CompensatePause(held)
+	if pause := now - d.lastTick; d.lastTick != 0 && pause > int64(stallThreshold) {
+		d.cfg.Log.Info().Int64("held-ms", pause/1e6).Msg("process was held up")
+		d.dir.CompensatePause(pause)
 	}
-	d.ticked = now
-	if d.partial() {
-		// Their reports may have gone to an instance that can't be reached.
+	d.lastTick = now
+	if d.memberUnreachable() {
+		// Missing reports may have gone to an instance that can't be reached.
 		return
 	}
 	if silent := d.dir.Tick(now); len(silent) > 0 {
 		d.cfg.Log.Info().Strs("backends", silent).Dur("after", d.cfg.Silent).Msg("backend servers silent")
-		d.wake()
+		d.notifyChange()
 	}
 }
 
-// partial reports whether another control instance can't be reached. The caller
+// memberUnreachable reports whether another member can't be reached. The caller
 // holds mu.
-func (d *Directory) partial() bool {
+func (d *Directory) memberUnreachable() bool {
 	for _, p := range d.peers {
 		if p.member && !p.reached {
 			return true
--- a/control/gossip/gossip_test.go
+++ b/control/gossip/gossip_test.go
@@ -16,17 +16,18 @@
 
 const silentAfter = 3 * time.Second
 
-// manual is a clock that tests set.
-type manual struct{ now time.Time }
+// manualClock is a clock that tests advance.
+type manualClock struct{ now time.Time }
 
-func (m *manual) Now() time.Time { return m.now }
+func (m *manualClock) Now() time.Time { return m.now }
 
-// pair is two directories with one as the other's peer, driven step by step.
+// pair is two directories, a and b, of which b is a peer of a. Tests drive the
+// exchange between them step by step.
 type pair struct {
 	t     *testing.T
-	clock *manual
+	clock *manualClock
 	a, b  *Directory
-	// link is b as a sees it.
+	// link is a's record of b.
 	link *peer
 }
 
@@ -38,25 +39,26 @@
 
 func newPair(t *testing.T) *pair {
 	t.Helper()
-	clock := &manual{now: time.Unix(1000, 0)}
+	clock := &manualClock{now: time.Unix(1000, 0)}
 	p := &pair{t: t, clock: clock, a: newDirectory(clock, "a", nil), b: newDirectory(clock, "b", nil)}
-	p.link = &peer{addr: "b", zone: "b", public: "10.0.0.2:80", full: true, member: true}
+	p.link = &peer{addr: "b", zone: "b", public: "10.0.0.2:80", needFull: true, member: true}
 	p.a.peers["b"] = p.link
 	return p
 }
 
-// exchange sends what a has to tell b.
+// exchange sends a's next message, if any, to b and applies the reply.
 func (p *pair) exchange() {
-	g, at, _ := p.a.compose(p.link)
+	g, at, _ := p.a.composeMessage(p.link)
 	if g == nil {
 		return
 	}
-	p.a.take(p.link, g, p.b.Gossip(g))
-	p.a.settle(p.link, at, nil)
+	p.a.applyReply(p.link, g, p.b.Gossip(g))
+	p.a.recordResult(p.link, at, nil)
 }
 
-func (p *pair) fail() {
-	p.a.settle(p.link, 0, fake.ErrCrashed)
+// failCall lets a's next call to b fail.
+func (p *pair) failCall() {
+	p.a.recordResult(p.link, 0, fake.ErrCrashed)
 }
 
 func (p *pair) advance(d time.Duration) {
@@ -82,15 +84,15 @@
 	return directory.View{}
 }
 
-func TestChangesReachThePeer(t *testing.T) {
+func TestChangesReachPeer(t *testing.T) {
 	p := newPair(t)
 	p.exchange()
 	p.a.Report(incarnation("s1", "a", 1))
 	p.exchange()
 	require.False(t, view(t, p.b, "s1").Draining)
-	leaving := incarnation("s1", "a", 2)
-	leaving.Draining = true
-	p.a.Report(leaving)
+	inc := incarnation("s1", "a", 2)
+	inc.Draining = true
+	p.a.Report(inc)
 	p.exchange()
 	require.True(t, view(t, p.b, "s1").Draining)
 	p.a.Leave("s1", 100)
@@ -98,13 +100,13 @@
 	require.True(t, view(t, p.b, "s1").Gone)
 }
 
-// TestCompleteOnceAPeerHasTold starts two instances, of which the second was not
-// reached when it started first: what it is told counts as well as what it asks
-// for.
-func TestCompleteOnceAPeerHasTold(t *testing.T) {
+// TestCompleteAfterReceivingDirectory checks that an instance is complete once a
+// peer has sent its whole directory, also if its own calls have not reached the
+// peer yet.
+func TestCompleteAfterReceivingDirectory(t *testing.T) {
 	p := newPair(t)
-	p.b.managed = true
-	p.b.peers["a"] = &peer{addr: "a", full: true, member: true}
+	p.b.peersKnown = true
+	p.b.peers["a"] = &peer{addr: "a", needFull: true, member: true}
 	p.a.Report(incarnation("s1", "a", 1))
 	require.False(t, p.b.Complete())
 	_, _, changed := p.b.Since(0)
@@ -115,7 +117,7 @@
 	<-changed
 }
 
-func TestRenewalsKeepABackendAliveElsewhere(t *testing.T) {
+func TestRenewalsPreventSilenceOnPeer(t *testing.T) {
 	p := newPair(t)
 	p.a.Report(incarnation("s1", "a", 1))
 	p.exchange()
@@ -123,28 +125,28 @@
 		p.advance(time.Second)
 		p.a.Report(incarnation("s1", "a", 2+i))
 		p.exchange()
-		p.b.ticked = 0
-		p.b.judge()
+		p.b.lastTick = 0
+		p.b.checkSilence()
 		require.False(t, view(t, p.b, "s1").Silent)
 	}
 	p.advance(silentAfter + time.Millisecond)
-	p.b.judge()
-	require.False(t, view(t, p.b, "s1").Silent, "b itself was held up for as long")
+	p.b.checkSilence()
+	require.False(t, view(t, p.b, "s1").Silent, "b itself was paused for that long")
 	for range 40 {
 		p.advance(100 * time.Millisecond)
-		p.b.judge()
+		p.b.checkSilence()
 	}
 	require.True(t, view(t, p.b, "s1").Silent)
 }
 
-// TestNothingIsLostWhileThePeerIsAway cuts the link; what changed meanwhile on
-// either side is known on both after it heals.
-func TestNothingIsLostWhileThePeerIsAway(t *testing.T) {
+// TestChangesSurvivePartition checks that changes on either side of a partition are
+// known on both sides after it ends.
+func TestChangesSurvivePartition(t *testing.T) {
 	p := newPair(t)
 	p.a.Report(incarnation("s1", "a", 1))
 	p.b.Report(incarnation("s2", "b", 1))
 	p.exchange()
-	p.fail()
+	p.failCall()
 	p.a.Leave("s1", 100)
 	p.b.Report(incarnation("s3", "b", 1))
 	p.exchange()
@@ -153,32 +155,33 @@
 	view(t, p.a, "s3")
 }
 
-// TestComparisonRepairs loses a message without an error, as a peer that
-// restarts on an old directory does.
-func TestComparisonRepairs(t *testing.T) {
+// TestDigestMismatchForcesFullExchange checks that a change is received in the end
+// although its message was lost without an error, as with a peer that restarts from
+// an old directory.
+func TestDigestMismatchForcesFullExchange(t *testing.T) {
 	p := newPair(t)
 	p.exchange()
 	p.a.Report(incarnation("s1", "a", 1))
-	_, at, _ := p.a.compose(p.link)
-	p.a.settle(p.link, at, nil)
-	for range 3 * maxDiffers {
+	_, at, _ := p.a.composeMessage(p.link)
+	p.a.recordResult(p.link, at, nil)
+	for range 3 * maxMismatches {
 		p.advance(digestInterval + time.Millisecond)
 		p.exchange()
 	}
 	view(t, p.b, "s1")
 }
 
-// TestNoSilenceIsToldWhileAPeerIsAway: reports may go to the instance that can't
-// be reached.
-func TestNoSilenceIsToldWhileAPeerIsAway(t *testing.T) {
+// TestNoSilenceWhileMemberUnreachable checks that no backend server becomes silent
+// while a member can't be reached, since reports may go to that member.
+func TestNoSilenceWhileMemberUnreachable(t *testing.T) {
 	p := newPair(t)
 	p.a.Report(incarnation("s1", "a", 1))
 	p.exchange()
-	p.fail()
+	p.failCall()
 	wait := func() {
 		for range 50 {
 			p.advance(100 * time.Millisecond)
-			p.a.judge()
+			p.a.checkSilence()
 		}
 	}
 	wait()
@@ -188,23 +191,25 @@
 	require.True(t, view(t, p.a, "s1").Silent)
 }
 
-// TestDrainSurvivesARestart kills an instance right after it has acknowledged and
-// saved that a backend server drains, before anyone else heard of it. What it
-// passes on after its restart, renewals among it, must tell the others.
-func TestDrainSurvivesARestart(t *testing.T) {
+// TestDrainSurvivesRestart kills an instance right after it has acknowledged and
+// saved that a backend server drains, before it has sent that to its peer. After
+// the restart the peer must receive it, even if reports come in the meantime and
+// only renewals are left to send.
+func TestDrainSurvivesRestart(t *testing.T) {
 	tests := []struct {
 		name string
-		// later is the number of reports that the restarted instance takes before
-		// it reaches its peer, and whether the peer takes one meanwhile.
-		later int
-		other bool
-		// both is set if the peer restarts too, from what it had saved.
-		both bool
+		// reports is the number of reports that the restarted instance receives
+		// before it reaches its peer.
+		reports int
+		// peerReports is set if the peer receives a stale report meanwhile.
+		peerReports bool
+		// restartPeer is set if the peer restarts too, from its saved directory.
+		restartPeer bool
 	}{
 		{"before the next report", 0, false, false},
 		{"after the next report", 1, false, false},
 		{"after many reports", 9, false, false},
-		{"after a report elsewhere", 1, true, false},
+		{"after a stale report to the peer", 1, true, false},
 		{"with the peer, before the next report", 0, false, true},
 		{"with the peer, after many reports", 9, false, true},
 	}
@@ -215,43 +220,43 @@
 			p.a.cfg.Dir = disk
 			peerDisk := fake.NewDisk()
 			p.b.cfg.Dir = peerDisk
-			leaving := incarnation("s1", "a", 5)
-			p.a.Report(leaving)
+			inc := incarnation("s1", "a", 5)
+			p.a.Report(inc)
 			p.exchange()
-			leaving.Sequence, leaving.Draining = 6, true
-			p.a.Report(leaving)
-			_, err := p.a.write(nil)
+			inc.Sequence, inc.Draining = 6, true
+			p.a.Report(inc)
+			_, err := p.a.writeIfChanged(nil)
 			require.NoError(t, err)
 
-			if tt.both {
-				_, err := p.b.write(nil)
+			if tt.restartPeer {
+				_, err := p.b.writeIfChanged(nil)
 				require.NoError(t, err)
 				p.b = newDirectory(p.clock, "b", peerDisk)
 			}
 			p.a = newDirectory(p.clock, "a", disk)
-			p.link = &peer{addr: "b", zone: "b", full: true, member: true}
+			p.link = &peer{addr: "b", zone: "b", needFull: true, member: true}
 			p.a.peers["b"] = p.link
-			for range tt.later {
-				leaving.Sequence++
-				p.a.Report(leaving)
+			for range tt.reports {
+				inc.Sequence++
+				p.a.Report(inc)
 			}
-			if tt.other {
-				late := *leaving
-				late.Draining = false
-				late.Sequence--
-				p.b.Report(&late)
+			if tt.peerReports {
+				stale := *inc
+				stale.Draining = false
+				stale.Sequence--
+				p.b.Report(&stale)
 			}
-			for range 1 + maxDiffers {
+			for range 1 + maxMismatches {
 				p.exchange()
-				leaving.Sequence++
-				p.a.Report(leaving)
+				inc.Sequence++
+				p.a.Report(inc)
 			}
 			require.True(t, view(t, p.b, "s1").Draining)
 		})
 	}
 }
 
-func TestBackendsAreSentToTheirZone(t *testing.T) {
+func TestReportNamesControlInstanceOfZone(t *testing.T) {
 	tests := []struct {
 		name, zone string
 		reached    bool
@@ -271,16 +276,16 @@
 	}
 }
 
-func TestDirectoryIsReadFromDisk(t *testing.T) {
-	clock := &manual{now: time.Unix(1000, 0)}
+func TestDirectoryIsRestoredFromDisk(t *testing.T) {
+	clock := &manualClock{now: time.Unix(1000, 0)}
 	disk := fake.NewDisk()
 	d := newDirectory(clock, "a", disk)
 	d.Report(incarnation("s1", "a", 7))
 	d.Report(incarnation("s2", "a", 7))
 	d.Leave("s2", 100)
-	saved, err := d.write(nil)
+	saved, err := d.writeIfChanged(nil)
 	require.NoError(t, err)
-	again, err := d.write(saved)
+	again, err := d.writeIfChanged(saved)
 	require.NoError(t, err)
 	require.Equal(t, saved, again)
 
@@ -291,25 +296,25 @@
 	d.Report(incarnation("s1", "a", 8))
 	require.Equal(t, uint64(8), view(t, d, "s1").Sequence)
 
-	// A directory that can't be read is left out.
+	// A saved directory that can't be read is ignored.
 	disk.Corrupt(directoryFile, 20)
 	list, _, _ := newDirectory(clock, "a", disk).Since(0)
 	require.Empty(t, list)
 	disk.FailAfter(0, fake.ErrFull)
-	_, err = d.write(nil)
+	_, err = d.writeIfChanged(nil)
 	require.ErrorIs(t, err, fake.ErrFull)
 }
 
-func TestCompleteOnceExchanged(t *testing.T) {
+func TestCompleteAfterExchange(t *testing.T) {
 	p := newPair(t)
 	require.False(t, p.a.Complete())
-	p.fail()
+	p.failCall()
 	require.False(t, p.a.Complete())
 	p.exchange()
 	require.True(t, p.a.Complete())
 
 	alone := newDirectory(p.clock, "c", nil)
 	require.False(t, alone.Complete(), "its peers are not known yet")
-	alone.managed = true
+	alone.peersKnown = true
 	require.True(t, alone.Complete())
 }
--- a/control/gossip/peer.go
+++ b/control/gossip/peer.go
@@ -17,31 +17,35 @@
 
 // peer is another control instance.
 type peer struct {
-	addr   string
+	addr string
+	// public is the address that backend servers reach it at.
 	public string
 	zone   string
-	// member is set once the log names it.
+	// member is set while it is among the known members.
 	member bool
 	// reached is set while calls succeed.
 	reached bool
 	cancel  context.CancelFunc
 
-	// sent is the revision up to which the peer has heard everything.
-	sent uint64
-	// full is set if the whole directory must be exchanged.
-	full bool
-	// differs counts comparisons in a row that failed.
-	differs  int
-	compared int64
+	// sentRevision is the revision up to which the peer has received everything.
+	sentRevision uint64
+	// needFull is set if the next message must exchange the whole directories.
+	needFull bool
+	// mismatches counts the replies that reported a difference since the last
+	// matching digest or exchange of the whole directories.
+	mismatches int
+	// lastDigest is the time of the last comparison of digests.
+	lastDigest int64
 }
 
-// maxDiffers is the number of failed comparisons in a row that calls for an
-// exchange of the whole directory: one may fail while reports are under way.
-const maxDiffers = 2
+// maxMismatches is the number of mismatches that leads to an exchange of the whole
+// directories. A single one may be due to reports in transit.
+const maxMismatches = 2
 
-// manage starts and ends the exchange with each control instance that is known.
-func (d *Directory) manage(ctx context.Context) error {
-	t := time.NewTicker(manageInterval)
+// managePeers starts and ends the exchange with other control instances as they
+// become known and are removed, until ctx ends.
+func (d *Directory) managePeers(ctx context.Context) error {
+	t := time.NewTicker(peerRefreshInterval)
 	defer t.Stop()
 	for {
 		d.refreshPeers(ctx)
@@ -66,7 +70,7 @@
 	delete(want, d.cfg.Self.Addr)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.managed = true
+	d.peersKnown = true
 	for addr, p := range d.peers {
 		if _, ok := want[addr]; !ok {
 			p.cancel()
@@ -87,53 +91,54 @@
 
 func (d *Directory) startPeer(ctx context.Context, addr string) *peer {
 	ctx, cancel := context.WithCancel(ctx)
-	p := &peer{addr: addr, cancel: cancel, full: true}
+	p := &peer{addr: addr, cancel: cancel, needFull: true}
 	d.peers[addr] = p
 	d.cfg.Group.Go(func() error { return d.exchange(ctx, p) })
 	return p
 }
 
-// exchange tells a peer what changes, until ctx ends.
+// exchange sends changes and renewals to a peer, until ctx ends.
 func (d *Directory) exchange(ctx context.Context, p *peer) error {
 	client := rpc.NewClient(p.addr, d.cfg.Creds)
 	defer client.Close()
-	wait := time.NewTimer(0)
-	defer wait.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for ctx.Err() == nil {
-		g, at, changed := d.compose(p)
+		g, revision, changed := d.composeMessage(p)
 		if g != nil {
-			d.settle(p, at, d.call(ctx, client, p, g))
+			d.recordResult(p, revision, d.call(ctx, client, p, g))
 		}
-		wait.Reset(pulseInterval)
+		timer.Reset(renewalInterval)
 		select {
 		case <-ctx.Done():
-		case <-wait.C:
+		case <-timer.C:
 		case <-changed:
-			clock.Sleep(ctx, settleTime)
+			clock.Sleep(ctx, batchDelay)
 		}
 	}
 	return nil
 }
 
-// compose returns what the peer hasn't heard, or nil, and the revision that it
-// has heard after that.
-func (d *Directory) compose(p *peer) (*message.Gossip, uint64, <-chan struct{}) {
+// composeMessage returns a message with what the peer hasn't received yet, or nil if
+// there is nothing to send, the revision that the message brings the peer to, and a
+// channel that is closed at the next change.
+func (d *Directory) composeMessage(p *peer) (*message.Gossip, uint64, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
 	g := &message.Gossip{}
-	if p.full {
+	if p.needFull {
 		g.Full, g.Changed = true, d.dir.All(now)
 	} else {
-		changed, renewed := d.dir.LocalSince(p.sent, now)
+		changed, renewed := d.dir.LocalSince(p.sentRevision, now)
 		g.Changed = changed
 		for i := range renewed {
 			r := &renewed[i]
 			g.Pulses = append(g.Pulses, message.Pulse{Name: r.Name, Born: r.Born, Sequence: r.Sequence, Draining: r.Draining})
 		}
 	}
-	if now-p.compared > int64(digestInterval) {
-		p.compared = now
+	if now-p.lastDigest > int64(digestInterval) {
+		p.lastDigest = now
 		g.Digest = d.dir.Digest()
 	}
 	if !g.Full && len(g.Changed) == 0 && len(g.Pulses) == 0 && g.Digest == 0 && p.reached {
@@ -158,40 +163,41 @@
 	if err != nil {
 		return err
 	}
-	d.take(p, g, &reply)
+	d.applyReply(p, g, &reply)
 	return nil
 }
 
-// take learns from the answer to a message.
-func (d *Directory) take(p *peer, g *message.Gossip, reply *message.GossipReply) {
+// applyReply applies the peer's reply to the message g.
+func (d *Directory) applyReply(p *peer, g *message.Gossip, reply *message.GossipReply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.merge(reply.All, p.addr, d.now())
 	switch {
 	case g.Full:
-		p.full, p.differs = false, 0
-		d.exchangedWhole()
+		p.needFull, p.mismatches = false, 0
+		d.markExchanged()
 	case reply.Differs:
-		p.differs++
-		p.full = p.differs >= maxDiffers
+		p.mismatches++
+		p.needFull = p.mismatches >= maxMismatches
 	case g.Digest != 0:
-		p.differs = 0
+		p.mismatches = 0
 	}
 }
 
-// settle notes whether the peer was reached.
-func (d *Directory) settle(p *peer, at uint64, err error) {
+// recordResult records whether a call reached the peer. After a failure, the whole
+// directories are exchanged next.
+func (d *Directory) recordResult(p *peer, revision uint64, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err == nil {
-		p.sent = at
+		p.sentRevision = revision
 		if !p.reached {
 			d.cfg.Log.Info().Str("peer", p.addr).Str("zone", p.zone).Msg("control instance reached")
 		}
 		p.reached = true
 		return
 	}
-	p.full = true
+	p.needFull = true
 	if p.reached {
 		d.cfg.Log.Warn(err).Str("zone", p.zone).Msg("control instance lost")
 	}
--- a/control/gossip/save.go
+++ b/control/gossip/save.go
@@ -17,18 +17,18 @@
 // saveInterval is the least time between two writes of the directory.
 const saveInterval = 200 * time.Millisecond
 
-// directoryFile is the name of the saved directory.
+// directoryFile is the name of the file that holds the saved directory.
 const directoryFile = "directory"
 
-// load reads the saved directory. One that can't be read is left out: backend
-// servers report again within seconds.
+// load reads the saved directory. If it can't be read, the directory starts empty:
+// backend servers report again within seconds.
 func (d *Directory) load() {
 	if d.cfg.Dir == nil {
 		return
 	}
 	names, err := d.cfg.Dir.List()
 	if err != nil {
-		d.cfg.Log.Warn(catkinrail.At(err, "read directory", "")).Msg("saved directory not used")
+		d.cfg.Log.Warn(catkinrail.At(err, "read directory", "")).Msg("saved directory not readable, starting empty")
 		return
 	}
 	if !slices.Contains(names, directoryFile) {
@@ -36,7 +36,7 @@
 	}
 	var list []catkinrail.Incarnation
 	if err := journal.ReadRecord(d.cfg.Dir, directoryFile, &list); err != nil {
-		d.cfg.Log.Warn(catkinrail.At(err, "read directory", "")).Msg("saved directory not used")
+		d.cfg.Log.Warn(catkinrail.At(err, "read directory", "")).Msg("saved directory not readable, starting empty")
 		return
 	}
 	now := d.now()
@@ -46,16 +46,16 @@
 	d.cfg.Log.Info().Int("backends", len(list)).Msg("directory read from disk")
 }
 
-// save writes the directory after changes. It holds nobody up while the disk
-// does.
+// save writes the directory after changes, until ctx ends. It doesn't hold mu while
+// it writes, so that a slow disk blocks nobody.
 func (d *Directory) save(ctx context.Context) error {
-	limiter := logs.NewLimiter(d.cfg.Clock, logInterval)
+	limiter := logs.NewLimiter(d.cfg.Clock, saveLogInterval)
 	var saved []byte
 	for ctx.Err() == nil {
 		d.mu.Lock()
 		changed := d.changed
 		d.mu.Unlock()
-		body, err := d.write(saved)
+		body, err := d.writeIfChanged(saved)
 		if err == nil {
 			saved = body
 		} else if skipped, ok := limiter.Allow(); ok {
@@ -73,10 +73,10 @@
 	return nil
 }
 
-// write writes the directory unless only sequences have changed since it was saved,
-// and returns what tells so. Sequences are kept, since they order what a restarted
-// instance passes on.
-func (d *Directory) write(saved []byte) ([]byte, error) {
+// writeIfChanged writes the directory unless its state is that of the last save, and
+// returns its encoded state. Sequences and warm-ups don't count as state, but
+// sequences are written: they order the reports that a restarted instance forwards.
+func (d *Directory) writeIfChanged(saved []byte) ([]byte, error) {
 	d.mu.Lock()
 	list := d.dir.All(0)
 	d.mu.Unlock()
