--- a/control/follow/feed.go
+++ b/control/follow/feed.go
@@ -9,50 +9,54 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-// maxFrames is the number of encoded changes that are kept for streams that lag
-// behind the others.
-const maxFrames = 32
+// maxCachedFrames is the number of encoded changes that are kept for streams that
+// lag behind the others.
+const maxCachedFrames = 32
 
-// snapshotReuse is the age, in nanoseconds, up to which the encoded directory
-// serves further streams: those that begin together, after a loss.
-const snapshotReuse = int64(500e6)
+// maxSnapshotAge is the age, in nanoseconds, up to which the encoded whole directory
+// is sent to further streams. After the loss of a control instance, many streams
+// begin at about the same time.
+const maxSnapshotAge = int64(500e6)
 
 // feed encodes the directory and its changes once for all streams. Streams that
-// were told the same come to the same revision, so that they share the next
+// have sent the same frame are at the same revision, so that they share the next
 // frame as well.
 type feed struct {
 	dir *gossip.Directory
 
 	mu sync.Mutex
-	// frames are by the revision that they follow.
+	// frames holds the changes since a revision, by that revision.
 	frames map[uint64]*frame
-	order  []uint64
-	// whole is the latest frame that follows nothing.
-	whole *frame
-	// document is the encoded document of a version.
+	// order lists the keys of frames, oldest first.
+	order []uint64
+	// snapshot is the latest frame with the whole directory; nil at the start.
+	snapshot *frame
+	// document is the latest encoded document.
 	document frame
 }
 
 // frame is an encoded update.
 type frame struct {
 	body []byte
-	// to is the revision, or the version, that it leads to.
+	// to is the revision of the directory, or the version of the document, that a
+	// receiver of the frame has.
 	to uint64
-	// made is the time at which it was encoded.
-	made int64
+	// encodedAt is the time at which it was encoded, in nanoseconds of the clock.
+	encodedAt int64
 }
 
 func newFeed(dir *gossip.Directory) *feed {
 	return &feed{dir: dir, frames: map[uint64]*frame{}}
 }
 
-// next returns the frame that follows a revision, or nil if nothing has changed,
-// and a channel that is closed at the next change.
+// next returns the frame with the changes since a revision, or the whole directory
+// if the revision is zero. If nothing has changed, the frame is nil and the channel
+// is closed at the next change.
 func (f *feed) next(revision uint64, now int64) (*frame, <-chan struct{}, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if revision == 0 && f.whole != nil && now-f.whole.made < snapshotReuse {
-		return f.whole, nil, nil
+	if revision == 0 && f.snapshot != nil && now-f.snapshot.encodedAt < maxSnapshotAge {
+		return f.snapshot, nil, nil
 	}
 	if fr := f.frames[revision]; fr != nil && revision != 0 {
 		return fr, nil, nil
@@ -69,36 +73,37 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	fr := &frame{body: body, to: at, made: now}
+	fr := &frame{body: body, to: at, encodedAt: now}
 	if revision == 0 {
-		f.whole = fr
+		f.snapshot = fr
 		return fr, nil, nil
 	}
-	f.keep(revision, fr)
+	f.cache(revision, fr)
 	return fr, nil, nil
 }
 
-// keep remembers a frame and forgets the oldest. The caller holds mu.
-func (f *feed) keep(revision uint64, fr *frame) {
+// cache keeps a frame and evicts the oldest beyond maxCachedFrames. The caller
+// holds mu.
+func (f *feed) cache(revision uint64, fr *frame) {
 	f.frames[revision] = fr
 	f.order = append(f.order, revision)
-	if len(f.order) > maxFrames {
+	if len(f.order) > maxCachedFrames {
 		delete(f.frames, f.order[0])
 		f.order = f.order[1:]
 	}
 }
 
-// encodeDocument returns the encoded document, without its source, which only
-// operators read.
+// encodeDocument returns an encoded update with the document, without its source,
+// which only operators read.
 func (f *feed) encodeDocument(d *catkinrail.Document) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.document.to == d.Version {
 		return f.document.body, nil
 	}
-	bare := *d
-	bare.Source = nil
-	body, err := cluster.EncodePacked(&message.FollowUpdate{Document: &bare})
+	withoutSource := *d
+	withoutSource.Source = nil
+	body, err := cluster.EncodePacked(&message.FollowUpdate{Document: &withoutSource})
 	if err != nil {
 		return nil, err
 	}
--- a/control/follow/feed_test.go
+++ b/control/follow/feed_test.go
@@ -34,19 +34,19 @@
 	return &u
 }
 
-// TestStreamsShareFrames lets streams that begin at different times catch up: they
-// know the same in the end, and from then on share what is encoded.
+// TestStreamsShareFrames lets streams catch up at different times. In the end all
+// entry instances must have the same state, and the streams share further frames.
 func TestStreamsShareFrames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDirectory()
 		f := newFeed(d)
 		engines := []*token.Engine{token.New("a", 1), token.New("a", 1), token.New("a", 1)}
-		at := make([]uint64, len(engines))
+		revisions := make([]uint64, len(engines))
 		now := int64(0)
 		catchUp := func(i int) *frame {
 			var last *frame
 			for {
-				fr, _, err := f.next(at[i], now)
+				fr, _, err := f.next(revisions[i], now)
 				require.NoError(t, err)
 				if fr == nil {
 					return last
@@ -56,7 +56,7 @@
 					list = append(list, token.FollowedBackend{Incarnation: b.Incarnation, Silent: b.Silent})
 				}
 				engines[i].Update(list, now)
-				at[i], last = fr.to, fr
+				revisions[i], last = fr.to, fr
 			}
 		}
 		sequence := uint64(0)
@@ -88,7 +88,7 @@
 	})
 }
 
-func TestDocumentIsEncodedOnceWithoutItsSource(t *testing.T) {
+func TestDocumentIsEncodedOnceWithoutSource(t *testing.T) {
 	f := newFeed(newDirectory())
 	d := &catkinrail.Document{Version: 3, Source: []byte("as sent")}
 	first, err := f.encodeDocument(d)
@@ -103,8 +103,8 @@
 	require.Equal(t, uint64(4), decode(t, next).Document.Version)
 }
 
-// TestResume tells an entry instance that comes back only what has changed, unless
-// the process is another one.
+// TestResume checks that a stream that resumes gets only what has changed since,
+// unless the control instance's process has been restarted.
 func TestResume(t *testing.T) {
 	d := newDirectory()
 	s := New(nil, d, clock.New(), logs.Discard())
@@ -114,11 +114,11 @@
 	require.NoError(t, err)
 	require.Len(t, decode(t, first.body).Backends, 2)
 	d.Report(incarnation(1, 2, true))
-	again, _, err := s.feed.next(s.resume(message.ResumePoint{Process: s.process, Revision: first.to}), 1)
+	again, _, err := s.feed.next(s.resumeRevision(message.ResumePoint{Process: s.process, Revision: first.to}), 1)
 	require.NoError(t, err)
 	changed := decode(t, again.body).Backends
 	require.Len(t, changed, 1)
 	require.True(t, changed[0].Draining)
-	require.Zero(t, s.resume(message.ResumePoint{Process: s.process + 1, Revision: first.to}))
-	require.Zero(t, s.resume(message.ResumePoint{}))
+	require.Zero(t, s.resumeRevision(message.ResumePoint{Process: s.process + 1, Revision: first.to}))
+	require.Zero(t, s.resumeRevision(message.ResumePoint{}))
 }
--- a/control/follow/followers.go
+++ b/control/follow/followers.go
@@ -13,13 +13,14 @@
 type Follower struct {
 	Name string
 	Zone catkinrail.Zone
-	// Document is the version of the document that it was last told.
+	// Document is the version of the document that it had at the start of the
+	// stream or was last sent.
 	Document uint64
-	// Began is the time at which the stream began.
-	Began time.Time
+	// StartedAt is the time at which the stream started.
+	StartedAt time.Time
 }
 
-// Followers returns the entry instances that follow, in order of their names.
+// Followers returns the entry instances that follow this one, sorted by name.
 func (s *Server) Followers() []Follower {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -28,16 +29,16 @@
 	return list
 }
 
-// note keeps what the stream's entry instance has been told, for Followers.
-func (x *stream) note() {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.streams[x] = x.Follower
+// record publishes the stream's current state for Followers.
+func (st *stream) record() {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.streams[st] = st.Follower
 }
 
-// end forgets the stream.
-func (x *stream) end() {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	delete(x.streams, x)
+// remove removes the stream from Followers.
+func (st *stream) remove() {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	delete(st.streams, st)
 }
--- a/control/follow/server.go
+++ b/control/follow/server.go
@@ -1,5 +1,5 @@
-// Package follow tells entry instances what control knows, as a stream of
-// changes.
+// Package follow streams the document, the directory of backend servers and the list
+// of control instances to entry instances, and then their changes.
 package follow
 
 import (
@@ -18,181 +18,189 @@
 	"catkinrail.example/catkinrail/transport/clock"
 )
 
-// Timing of the stream.
+// Timing of the streams.
 const (
-	// settleTime lets changes that come together travel together: a hundredth of
-	// the usual bound on a draining server.
-	settleTime = 30 * time.Millisecond
-	// currentSpan is the time since the last word of a leader for which this
-	// instance counts as current: a few heartbeats.
-	currentSpan = time.Second
-	// keepAlive is the longest time between two updates.
-	keepAlive = 400 * time.Millisecond
+	// batchDelay is the time between a change and its sending, so that changes
+	// that come together are sent together: a hundredth of the usual time within
+	// which a draining backend server must stop getting new flows.
+	batchDelay = 30 * time.Millisecond
+	// syncTimeout is the time since the last sync with a leader after which this
+	// instance no longer counts as in contact: a few of the leader's heartbeats.
+	syncTimeout = time.Second
+	// keepAliveInterval is the longest time between two updates.
+	keepAliveInterval = 400 * time.Millisecond
 )
 
-// Server sends updates.
+// Server sends updates to the entry instances that follow this control instance.
 type Server struct {
 	core  *core.Core
 	dir   *gossip.Directory
 	feed  *feed
 	clock catkinrail.Clock
 	log   *logs.Logger
-	// process tells this process from earlier ones at the same address.
+	// process is a random number that tells this process from earlier ones at the
+	// same address, whose revisions mean something else.
 	process uint64
 
 	mu      sync.Mutex
 	streams map[*stream]Follower
 }
 
-// New returns a server.
+// New returns a server that sends the core's document and members and the directory.
 func New(c *core.Core, dir *gossip.Directory, clock catkinrail.Clock, log *logs.Logger) *Server {
 	return &Server{core: c, dir: dir, feed: newFeed(dir), clock: clock, log: log, process: rand.Uint64(), streams: map[*stream]Follower{}}
 }
 
-// stream is what one entry instance has been told.
+// stream is a stream of updates to one entry instance, with what was last sent.
 type stream struct {
 	*Server
 	Follower
-	send     func(body []byte) error
+	send func(body []byte) error
+	// revision is that of the directory.
 	revision uint64
 	members  *quorum.Members
 	current  bool
 	complete bool
 }
 
-// Serve sends updates until ctx ends or send fails.
+// Serve sends updates to an entry instance until ctx ends or an update fails, and
+// returns that error.
 func (s *Server) Serve(ctx context.Context, req *message.FollowRequest, send func(body []byte) error) error {
-	x := &stream{
-		Server: s, send: send, revision: s.resume(req.Resume),
-		Follower: Follower{Name: req.Name, Zone: req.Zone, Document: req.Document, Began: s.clock.Now()},
+	st := &stream{
+		Server: s, send: send, revision: s.resumeRevision(req.Resume),
+		Follower: Follower{Name: req.Name, Zone: req.Zone, Document: req.Document, StartedAt: s.clock.Now()},
 	}
 	s.log.Info().Str("entry", req.Name).Str("zone", string(req.Zone)).Uint64("document", req.Document).
-		Uint64("revision", x.revision).Msg("entry instance follows")
-	x.note()
-	defer x.end()
-	if err := x.hello(); err != nil {
+		Uint64("revision", st.revision).Msg("entry instance's stream started")
+	st.record()
+	defer st.remove()
+	if err := st.sendEmpty(); err != nil {
 		return err
 	}
-	beat := time.NewTicker(keepAlive)
-	defer beat.Stop()
-	due := true
+	keepAlive := time.NewTicker(keepAliveInterval)
+	defer keepAlive.Stop()
+	keepAliveDue := true
 	for {
 		advanced := s.core.Advanced()
-		changed, err := x.update(due)
+		changed, err := st.update(keepAliveDue)
 		if err != nil {
-			s.log.Info().Str("entry", req.Name).Err(err).Msg("entry instance follows no more")
+			s.log.Info().Str("entry", req.Name).Err(err).Msg("entry instance's stream failed")
 			return err
 		}
-		if due, err = x.wait(ctx, advanced, changed, beat.C); err != nil {
+		if keepAliveDue, err = st.wait(ctx, advanced, changed, keepAlive.C); err != nil {
 			return nil
 		}
 	}
 }
 
-// hello sends an empty update, so that the entry instance soon knows that someone is
-// there, however long the first update takes on its link.
-func (x *stream) hello() error {
+// sendEmpty sends an empty update, so that the entry instance soon knows that this
+// instance answers, however long the first update takes on a slow link.
+func (st *stream) sendEmpty() error {
 	body, err := cluster.EncodePacked(&message.FollowUpdate{})
 	if err != nil {
 		return err
 	}
-	return x.send(body)
+	return st.send(body)
 }
 
-// resume returns the revision from which a stream goes on; zero for the beginning.
-func (s *Server) resume(p message.ResumePoint) uint64 {
+// resumeRevision returns the revision of the directory from which a stream resumes,
+// or zero if it must start with the whole directory.
+func (s *Server) resumeRevision(p message.ResumePoint) uint64 {
 	if p.Process != s.process {
 		return 0
 	}
 	return p.Revision
 }
 
-// wait returns when there may be something to tell, and whether a sign of life is
-// due. An advance of the log that changes nothing for an entry instance is none.
-func (x *stream) wait(ctx context.Context, advanced, changed <-chan struct{}, beat <-chan time.Time) (due bool, err error) {
+// wait waits until there may be something to send, and reports whether a keep-alive
+// is due. It ignores core snapshots with neither a newer document nor new members.
+func (st *stream) wait(ctx context.Context, advanced, changed <-chan struct{}, keepAlive <-chan time.Time) (keepAliveDue bool, err error) {
 	for {
 		select {
 		case <-ctx.Done():
 			return false, ctx.Err()
-		case <-beat:
+		case <-keepAlive:
 			return true, nil
 		case <-changed:
 		case <-advanced:
-			advanced = x.core.Advanced()
-			snap := x.core.Snapshot()
-			if version(snap) <= x.Document && snap.Members == x.members {
+			advanced = st.core.Advanced()
+			snap := st.core.Snapshot()
+			if documentVersion(snap) <= st.Document && snap.Members == st.members {
 				continue
 			}
 		}
-		clock.Sleep(ctx, settleTime)
+		clock.Sleep(ctx, batchDelay)
 		return false, ctx.Err()
 	}
 }
 
-// InTouch reports whether this control instance knows all that its leader has
-// committed.
-func (s *Server) InTouch() bool {
+// InContact reports whether this control instance had, within syncTimeout, everything
+// that its leader had committed.
+func (s *Server) InContact() bool {
 	synced := s.core.Synced()
-	return synced > 0 && s.clock.Now().UnixNano()-synced < int64(currentSpan)
+	return synced > 0 && s.clock.Now().UnixNano()-synced < int64(syncTimeout)
 }
 
-func version(s *core.Snapshot) uint64 {
+// documentVersion returns the version of the document in force, or zero without one.
+func documentVersion(s *core.Snapshot) uint64 {
 	if s.Document == nil {
 		return 0
 	}
 	return s.Document.Version
 }
 
-// update tells what the stream hasn't told yet: first what is known, then the
-// sender's own state, so that an entry instance that reads that it is complete
-// has it all.
-func (x *stream) update(due bool) (<-chan struct{}, error) {
-	now := x.clock.Now().UnixNano()
-	current := x.InTouch()
-	snap := x.core.Snapshot()
-	complete := x.dir.Complete()
-	if v := version(snap); v > x.Document && current {
-		body, err := x.feed.encodeDocument(snap.Document)
+// update sends what the stream hasn't sent yet, or at least the state if a keep-alive
+// is due. The state comes last, so that an entry instance that receives Complete has
+// everything. It returns a channel that is closed at the next change of the directory.
+func (st *stream) update(keepAliveDue bool) (<-chan struct{}, error) {
+	now := st.clock.Now().UnixNano()
+	current := st.InContact()
+	snap := st.core.Snapshot()
+	complete := st.dir.Complete()
+	if v := documentVersion(snap); v > st.Document && current {
+		body, err := st.feed.encodeDocument(snap.Document)
 		if err != nil {
 			return nil, err
 		}
-		if err := x.send(body); err != nil {
+		if err := st.send(body); err != nil {
 			return nil, err
 		}
-		x.Document = v
-		x.note()
+		st.Document = v
+		st.record()
 	}
-	changed, err := x.sendBackends(now)
+	changed, err := st.sendBackends(now)
 	if err != nil {
 		return nil, err
 	}
-	if !due && current == x.current && complete == x.complete && snap.Members == x.members {
+	if !keepAliveDue && current == st.current && complete == st.complete && snap.Members == st.members {
 		return changed, nil
 	}
-	x.current, x.complete = current, complete
-	return changed, x.sendState(snap)
+	st.current, st.complete = current, complete
+	return changed, st.sendState(snap)
 }
 
-// sendBackends sends the changes of the directory, up to the latest.
-func (x *stream) sendBackends(now int64) (<-chan struct{}, error) {
+// sendBackends sends all pending changes of the directory. It returns a channel that
+// is closed at the next one.
+func (st *stream) sendBackends(now int64) (<-chan struct{}, error) {
 	for {
-		fr, changed, err := x.feed.next(x.revision, now)
+		fr, changed, err := st.feed.next(st.revision, now)
 		if err != nil || fr == nil {
 			return changed, err
 		}
-		if err := x.send(fr.body); err != nil {
+		if err := st.send(fr.body); err != nil {
 			return nil, err
 		}
-		x.revision = fr.to
+		st.revision = fr.to
 	}
 }
 
-// sendState sends the sender's own state.
-func (x *stream) sendState(snap *core.Snapshot) error {
-	u := &message.FollowUpdate{Current: x.current, Complete: x.complete, State: true}
-	u.Resume = message.ResumePoint{Process: x.process, Revision: x.revision}
-	if snap.Members != x.members {
-		x.members = snap.Members
+// sendState sends this instance's own state, and the control instances if they have
+// changed.
+func (st *stream) sendState(snap *core.Snapshot) error {
+	u := &message.FollowUpdate{Current: st.current, Complete: st.complete, State: true}
+	u.Resume = message.ResumePoint{Process: st.process, Revision: st.revision}
+	if snap.Members != st.members {
+		st.members = snap.Members
 		for _, id := range cluster.SortedKeys(snap.Members.Nodes) {
 			u.Peers = append(u.Peers, snap.Members.Nodes[id])
 		}
@@ -201,5 +209,5 @@
 	if err != nil {
 		return err
 	}
-	return x.send(body)
+	return st.send(body)
 }
--- a/control/operator/directory.go
+++ b/control/operator/directory.go
@@ -18,7 +18,7 @@
 		return nil, coded(err)
 	}
 	now := s.clock.Now()
-	reply := &api.DirectoryReply{Control: s.name, Current: s.follow.InTouch()}
+	reply := &api.DirectoryReply{Control: s.name, Current: s.follow.InContact()}
 	if d := s.core.Snapshot().Document; d != nil {
 		reply.DocumentVersion = d.Version
 	}
@@ -31,7 +31,7 @@
 	})
 	for _, f := range s.follow.Followers() {
 		reply.Followers = append(reply.Followers, &api.Follower{
-			Name: f.Name, Zone: string(f.Zone), DocumentVersion: f.Document, AgeMs: now.Sub(f.Began).Milliseconds(),
+			Name: f.Name, Zone: string(f.Zone), DocumentVersion: f.Document, AgeMs: now.Sub(f.StartedAt).Milliseconds(),
 		})
 	}
 	return reply, nil
