--- a/control/entry/server.go
+++ b/control/entry/server.go
@@ -1,5 +1,5 @@
-// Package entry serves the calls of entry instances and of other control
-// instances.
+// Package entry implements the calls that control instances serve to entry instances
+// and to each other.
 package entry
 
 import (
@@ -22,18 +22,19 @@
 	"catkinrail.example/catkinrail/transport/rpc"
 )
 
-// holdTime is how long a heartbeat's answer waits for a change. Changes reach
-// entry instances at once, and heartbeats stay rare.
-const holdTime = 250 * time.Millisecond
+// heartbeatHold is the longest time for which the reply to a heartbeat waits for a
+// change. This way changes reach entry instances at once although heartbeats are rare.
+const heartbeatHold = 250 * time.Millisecond
 
-// Server implements the Control calls.
+// Server implements the calls of the Control service.
 type Server struct {
 	core   *core.Core
 	dir    *gossip.Directory
 	follow *follow.Server
 }
 
-// New returns a server on top of the core and the directory.
+// New returns a server on top of the core, the directory and the streams to entry
+// instances.
 func New(c *core.Core, dir *gossip.Directory, f *follow.Server) *Server {
 	return &Server{core: c, dir: dir, follow: f}
 }
@@ -43,7 +44,7 @@
 // Step implements control.DRPCControlServer.
 func (s *Server) Step(ctx context.Context, f *control.Frame) (*control.Frame, error) {
 	var list []quorum.Message
-	if err := open(ctx, f, &list, rpc.RoleControl); err != nil {
+	if err := decodeRequest(ctx, f, &list, rpc.RoleControl); err != nil {
 		return nil, err
 	}
 	return &control.Frame{}, s.core.Step(ctx, list)
@@ -55,23 +56,23 @@
 		return nil, err
 	}
 	g, err := s.core.Greeting(ctx)
-	return reply(g, err)
+	return encodeReply(g, err)
 }
 
 // Join implements control.DRPCControlServer.
 func (s *Server) Join(ctx context.Context, f *control.Frame) (*control.Frame, error) {
 	var req message.JoinRequest
-	if err := open(ctx, f, &req, rpc.RoleControl); err != nil {
+	if err := decodeRequest(ctx, f, &req, rpc.RoleControl); err != nil {
 		return nil, err
 	}
 	r, err := s.core.Join(ctx, &req)
-	return reply(r, coded(err))
+	return encodeReply(r, withCode(err))
 }
 
 // Register implements control.DRPCControlServer.
 func (s *Server) Register(ctx context.Context, f *control.Frame) (*control.Frame, error) {
 	var reg plan.Registration
-	if err := open(ctx, f, &reg, rpc.RoleEntry); err != nil {
+	if err := decodeRequest(ctx, f, &reg, rpc.RoleEntry); err != nil {
 		return nil, err
 	}
 	var id catkinrail.InstanceID
@@ -79,23 +80,23 @@
 		events, id, err = plan.Register(state, &reg)
 		return events, err
 	})
-	return reply(&message.Registered{ID: id}, coded(err))
+	return encodeReply(&message.Registered{ID: id}, withCode(err))
 }
 
 // Heartbeat implements control.DRPCControlServer.
 func (s *Server) Heartbeat(ctx context.Context, f *control.Frame) (*control.Frame, error) {
 	var hb message.Heartbeat
-	if err := open(ctx, f, &hb, rpc.RoleEntry); err != nil {
+	if err := decodeRequest(ctx, f, &hb, rpc.RoleEntry); err != nil {
 		return nil, err
 	}
 	r, changed, err := s.core.Heartbeat(ctx, &hb)
 	if err != nil {
-		return nil, coded(err)
+		return nil, withCode(err)
 	}
 	if !hb.Wait || r.Unregistered || len(r.Changes) > 0 || r.State != nil {
-		return reply(r, nil)
+		return encodeReply(r, nil)
 	}
-	hold := time.NewTimer(holdTime)
+	hold := time.NewTimer(heartbeatHold)
 	defer hold.Stop()
 	select {
 	case <-changed:
@@ -103,10 +104,10 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	// What was reported is noted already.
-	again := message.Heartbeat{ID: hb.ID, Term: hb.Term, Have: hb.Have, Synced: hb.Synced, Busy: hb.Busy}
-	r, _, err = s.core.Heartbeat(ctx, &again)
-	return reply(r, coded(err))
+	// The reports in the heartbeat were recorded by the first call.
+	followUp := message.Heartbeat{ID: hb.ID, Term: hb.Term, Have: hb.Have, Synced: hb.Synced, Busy: hb.Busy}
+	r, _, err = s.core.Heartbeat(ctx, &followUp)
+	return encodeReply(r, withCode(err))
 }
 
 // PutDocument implements control.DRPCControlServer.
@@ -121,11 +122,11 @@
 	if len(change.Events) != 1 || change.Events[0].DocumentPut == nil {
 		return nil, drpcerr.WithCode(errNoDocument, uint64(api.Code_INVALID))
 	}
-	return &control.Frame{}, coded(s.core.PutDocument(ctx, change.Events[0].DocumentPut))
+	return &control.Frame{}, withCode(s.core.PutDocument(ctx, change.Events[0].DocumentPut))
 }
 
-// errNoDocument reports a call without the document that it should put.
-var errNoDocument = errors.New("call holds no document")
+// errNoDocument means that the change of a PutDocument call isn't a single document.
+var errNoDocument = errors.New("change must hold exactly one event that puts a document")
 
 // ReadIndex implements control.DRPCControlServer.
 func (s *Server) ReadIndex(ctx context.Context, _ *control.Frame) (*control.Frame, error) {
@@ -133,13 +134,13 @@
 		return nil, drpcerr.WithCode(err, uint64(api.Code_FORBIDDEN))
 	}
 	index, err := s.core.ReadIndex(ctx)
-	return reply(&message.ReadMark{Index: index}, coded(err))
+	return encodeReply(&message.ReadMark{Index: index}, withCode(err))
 }
 
 // Gossip implements control.DRPCControlServer.
 func (s *Server) Gossip(ctx context.Context, f *control.Frame) (*control.Frame, error) {
 	var g message.Gossip
-	if err := open(ctx, f, &g, rpc.RoleControl); err != nil {
+	if err := decodeRequest(ctx, f, &g, rpc.RoleControl); err != nil {
 		return nil, err
 	}
 	body, err := cluster.EncodePacked(s.dir.Gossip(&g))
@@ -152,7 +153,7 @@
 // Follow implements control.DRPCControlServer.
 func (s *Server) Follow(f *control.Frame, stream control.DRPCControl_FollowStream) error {
 	var req message.FollowRequest
-	if err := open(stream.Context(), f, &req, rpc.RoleEntry); err != nil {
+	if err := decodeRequest(stream.Context(), f, &req, rpc.RoleEntry); err != nil {
 		return err
 	}
 	return s.follow.Serve(stream.Context(), &req, func(body []byte) error {
@@ -160,8 +161,9 @@
 	})
 }
 
-// open checks the caller's role and decodes the frame.
-func open(ctx context.Context, f *control.Frame, v any, roles ...rpc.Role) error {
+// decodeRequest checks the caller's role and decodes the frame's body into v. Its
+// errors carry a code for the caller.
+func decodeRequest(ctx context.Context, f *control.Frame, v any, roles ...rpc.Role) error {
 	if err := rpc.RequireRole(ctx, roles...); err != nil {
 		return drpcerr.WithCode(err, uint64(api.Code_FORBIDDEN))
 	}
@@ -171,7 +173,8 @@
 	return nil
 }
 
-func reply(v any, err error) (*control.Frame, error) {
+// encodeReply returns a frame with the encoded v, or err if it is set.
+func encodeReply(v any, err error) (*control.Frame, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -182,8 +185,8 @@
 	return &control.Frame{Body: body}, nil
 }
 
-// coded marks errors that the caller should react to.
-func coded(err error) error {
+// withCode adds a code to errors that the caller should react to.
+func withCode(err error) error {
 	if errors.Is(err, core.ErrNotLeader) {
 		return drpcerr.WithCode(err, uint64(api.Code_NOT_LEADER))
 	}
