--- a/control/operator/directory.go
+++ b/control/operator/directory.go
@@ -11,11 +11,11 @@
 	"catkinrail.example/catkinrail/transport/rpc"
 )
 
-// Directory implements api.DRPCOperatorServer. It doesn't ask the leader, so that it
-// also answers in a minority.
+// Directory implements api.DRPCOperatorServer. It doesn't need the leader, so that it
+// also answers on the minority side of a partition.
 func (s *Server) Directory(ctx context.Context, _ *api.Empty) (*api.DirectoryReply, error) {
 	if err := rpc.RequireRole(ctx, rpc.RoleOperator); err != nil {
-		return nil, coded(err)
+		return nil, withCode(err)
 	}
 	now := s.clock.Now()
 	reply := &api.DirectoryReply{Control: s.name, Current: s.follow.InContact()}
@@ -24,7 +24,7 @@
 	}
 	list, _, _ := s.dir.Since(0)
 	for i := range list {
-		reply.BackendServers = append(reply.BackendServers, describeReporting(&list[i], now))
+		reply.BackendServers = append(reply.BackendServers, describeReportingServer(&list[i], now))
 	}
 	slices.SortFunc(reply.BackendServers, func(a, b *api.ReportingServer) int {
 		return strings.Compare(a.Service+"\x00"+a.Name, b.Service+"\x00"+b.Name)
@@ -37,7 +37,7 @@
 	return reply, nil
 }
 
-func describeReporting(v *directory.View, now time.Time) *api.ReportingServer {
+func describeReportingServer(v *directory.View, now time.Time) *api.ReportingServer {
 	return &api.ReportingServer{
 		Name: v.Name, Service: v.Service, Zone: string(v.Zone), Address: v.Addr.String(), Slots: uint32(v.Slots),
 		State: reportingState(v), Born: v.Born, Sequence: v.Sequence, AgeMs: now.Sub(time.Unix(0, v.LastReport)).Milliseconds(),
--- a/control/operator/directory_test.go
+++ b/control/operator/directory_test.go
@@ -11,7 +11,7 @@
 	"catkinrail.example/catkinrail/state/directory"
 )
 
-func TestDescribeReporting(t *testing.T) {
+func TestDescribeReportingServer(t *testing.T) {
 	tests := []struct {
 		name string
 		view directory.View
@@ -19,7 +19,7 @@
 	}{
 		{"reports", directory.View{}, "ready"},
 		{"drains", directory.View{Incarnation: catkinrail.Incarnation{Draining: true}}, "draining"},
-		{"drains and fell silent", directory.View{Incarnation: catkinrail.Incarnation{Draining: true}, Silent: true}, "silent"},
+		{"drains and is silent", directory.View{Incarnation: catkinrail.Incarnation{Draining: true}, Silent: true}, "silent"},
 		{"has ended", directory.View{Incarnation: catkinrail.Incarnation{Gone: true}, Silent: true}, "gone"},
 	}
 	for _, tt := range tests {
@@ -27,7 +27,7 @@
 			now := time.Unix(1000, 0)
 			tt.view.Addr = netip.MustParseAddrPort("10.0.0.9:80")
 			tt.view.LastReport = now.Add(-340 * time.Millisecond).UnixNano()
-			got := describeReporting(&tt.view, now)
+			got := describeReportingServer(&tt.view, now)
 			require.Equal(t, tt.want, got.GetState())
 			require.Equal(t, int64(340), got.GetAgeMs())
 			require.Equal(t, "10.0.0.9:80", got.GetAddress())
--- a/control/operator/read.go
+++ b/control/operator/read.go
@@ -12,16 +12,19 @@
 	"catkinrail.example/catkinrail/transport/rpc"
 )
 
-// read calls f with the agreed state on the leader.
+// read checks the caller's role and calls f with the committed state, if this
+// instance is the leader.
 func (s *Server) read(ctx context.Context, f func(*cluster.State, *core.Status)) error {
 	if err := rpc.RequireRole(ctx, rpc.RoleOperator); err != nil {
-		return coded(err)
+		return withCode(err)
 	}
-	return coded(s.core.Read(ctx, f))
+	return withCode(s.core.Read(ctx, f))
 }
 
+// protocolName returns the name of a protocol number, or an empty string if it has
+// none.
 func protocolName(proto uint8) string {
-	for name, n := range protocols {
+	for name, n := range protocolNumbers {
 		if n == proto && name != "" {
 			return name
 		}
@@ -29,6 +32,7 @@
 	return ""
 }
 
+// movingBuckets returns the number of a service's buckets that are being moved.
 func movingBuckets(svc *catkinrail.Service) uint32 {
 	n := uint32(0)
 	for _, b := range svc.Buckets {
@@ -131,17 +135,17 @@
 	}
 }
 
-// Status implements api.DRPCOperatorServer. Any control instance answers it,
-// with what it knows.
+// Status implements api.DRPCOperatorServer. Every control instance answers it, from
+// its own state, which may be out of date.
 func (s *Server) Status(ctx context.Context, _ *api.Empty) (*api.StatusReply, error) {
 	if err := rpc.RequireRole(ctx, rpc.RoleOperator); err != nil {
-		return nil, coded(err)
+		return nil, withCode(err)
 	}
 	reply := &api.StatusReply{}
 	err := s.core.Local(ctx, func(state *cluster.State, status *core.Status) {
 		fillStatus(reply, state, status)
 	})
-	return reply, coded(err)
+	return reply, withCode(err)
 }
 
 func fillStatus(r *api.StatusReply, state *cluster.State, status *core.Status) {
@@ -177,6 +181,7 @@
 	}
 }
 
+// sortedNodes returns the members' ids, sorted by name.
 func sortedNodes(m *quorum.Members) []quorum.NodeID {
 	ids := make([]quorum.NodeID, 0, len(m.Nodes))
 	for id := range m.Nodes {
@@ -216,9 +221,9 @@
 func (s *Server) Watch(_ *api.Empty, stream api.DRPCOperator_WatchStream) error {
 	ctx := stream.Context()
 	if err := rpc.RequireRole(ctx, rpc.RoleOperator); err != nil {
-		return coded(err)
+		return withCode(err)
 	}
-	return coded(s.core.Watch(ctx, func(c *cluster.Change) error {
-		return stream.Send(&api.WatchEvent{Version: c.Version, Detail: describe(c.Events)})
+	return withCode(s.core.Watch(ctx, func(c *cluster.Change) error {
+		return stream.Send(&api.WatchEvent{Version: c.Version, Detail: describeEvents(c.Events)})
 	}))
 }
--- a/control/operator/server.go
+++ b/control/operator/server.go
@@ -1,4 +1,4 @@
-// Package operator serves the operators' calls.
+// Package operator implements the calls that control instances serve to operators.
 package operator
 
 import (
@@ -20,7 +20,7 @@
 	"catkinrail.example/catkinrail/transport/rpc"
 )
 
-// Server implements the Operator calls.
+// Server implements the calls of the Operator service.
 type Server struct {
 	name   string
 	core   *core.Core
@@ -29,16 +29,16 @@
 	clock  catkinrail.Clock
 }
 
-// New returns a server on top of the core, the directory and the streams of the
-// control instance with the given name.
+// New returns a server on top of the core, the directory and the streams to entry
+// instances of the control instance with the given name.
 func New(name string, c *core.Core, dir *gossip.Directory, f *follow.Server, clock catkinrail.Clock) *Server {
 	return &Server{name: name, core: c, dir: dir, follow: f, clock: clock}
 }
 
 var _ api.DRPCOperatorServer = (*Server)(nil)
 
-// codes gives each error its code. The first match counts.
-var codes = []struct {
+// errorCodes lists the codes of errors. The first match counts.
+var errorCodes = []struct {
 	err  error
 	code api.Code
 }{
@@ -56,12 +56,13 @@
 	{plan.ErrInvalid, api.Code_INVALID},
 }
 
-// coded adds the code of the error.
-func coded(err error) error {
+// withCode adds its code to an error. Errors that callers need not tell apart have
+// none.
+func withCode(err error) error {
 	if err == nil {
 		return nil
 	}
-	for _, c := range codes {
+	for _, c := range errorCodes {
 		if errors.Is(err, c.err) {
 			return drpcerr.WithCode(err, uint64(c.code))
 		}
@@ -73,10 +74,11 @@
 	return err
 }
 
-// change carries out a command, or shows what it would do.
+// change runs a command, or returns what it would change if the caller asks for a
+// dry run.
 func (s *Server) change(ctx context.Context, c *api.Change, cmd *plan.Command) (*api.ChangeReply, error) {
 	if err := rpc.RequireRole(ctx, rpc.RoleOperator); err != nil {
-		return nil, coded(err)
+		return nil, withCode(err)
 	}
 	cmd.Request = c.GetRequest()
 	cmd.Expect = c.GetExpect()
@@ -85,28 +87,29 @@
 	}
 	a, err := s.core.Command(ctx, cmd)
 	if err != nil {
-		return nil, coded(err)
+		return nil, withCode(err)
 	}
 	return &api.ChangeReply{Version: a.Version, Detail: a.Detail, Ran: true}, nil
 }
 
+// dryRun evaluates a command on the leader's committed state without running it.
 func (s *Server) dryRun(ctx context.Context, cmd *plan.Command) (*api.ChangeReply, error) {
 	reply := &api.ChangeReply{}
-	var result error
+	var evalErr error
 	err := s.core.Read(ctx, func(state *cluster.State, _ *core.Status) {
 		events, _, err := plan.Evaluate(state, cmd)
 		if err != nil {
-			result = err
+			evalErr = err
 			return
 		}
 		reply.Version = state.Version
-		reply.Detail = describe(events)
+		reply.Detail = describeEvents(events)
 	})
-	return reply, coded(errors.Join(err, result))
+	return reply, withCode(errors.Join(err, evalErr))
 }
 
-// describe sums up events for a person.
-func describe(events []cluster.Event) string {
+// describeEvents returns a summary of the events for operators.
+func describeEvents(events []cluster.Event) string {
 	services, backends, buckets, others := 0, 0, 0, 0
 	for i := range events {
 		switch e := &events[i]; {
@@ -128,7 +131,7 @@
 func (s *Server) CreateService(ctx context.Context, r *api.ServiceRequest) (*api.ChangeReply, error) {
 	cfg, err := serviceConfig(r.GetService())
 	if err != nil {
-		return nil, coded(err)
+		return nil, withCode(err)
 	}
 	return s.change(ctx, r.GetChange(), &plan.Command{Create: cfg})
 }
@@ -137,20 +140,22 @@
 func (s *Server) ChangeService(ctx context.Context, r *api.ServiceRequest) (*api.ChangeReply, error) {
 	cfg, err := serviceConfig(r.GetService())
 	if err != nil {
-		return nil, coded(err)
+		return nil, withCode(err)
 	}
 	return s.change(ctx, r.GetChange(), &plan.Command{Change: cfg})
 }
 
-// protocols maps the names of protocols to their numbers.
-var protocols = map[string]uint8{"": 0, "tcp": catkinrail.ProtoTCP, "udp": catkinrail.ProtoUDP}
+// protocolNumbers maps the names of protocols to their IP protocol numbers. An empty
+// name stands for the default.
+var protocolNumbers = map[string]uint8{"": 0, "tcp": catkinrail.ProtoTCP, "udp": catkinrail.ProtoUDP}
 
+// serviceConfig translates a service from an operator's request.
 func serviceConfig(s *api.Service) (*catkinrail.ServiceConfig, error) {
 	addr, err := netip.ParseAddrPort(s.GetAddress())
 	if err != nil {
 		return nil, &catkinrail.FieldError{Field: "address", Reason: fmt.Sprintf("%q must be an IP address and a port", s.GetAddress())}
 	}
-	proto, ok := protocols[s.GetProtocol()]
+	proto, ok := protocolNumbers[s.GetProtocol()]
 	if !ok {
 		return nil, &catkinrail.FieldError{Field: "protocol", Reason: fmt.Sprintf("%q must be \"tcp\" or \"udp\"", s.GetProtocol())}
 	}
@@ -197,7 +202,7 @@
 // Outcome implements api.DRPCOperatorServer.
 func (s *Server) Outcome(ctx context.Context, r *api.OutcomeRequest) (*api.ChangeReply, error) {
 	if err := rpc.RequireRole(ctx, rpc.RoleOperator); err != nil {
-		return nil, coded(err)
+		return nil, withCode(err)
 	}
 	ran := false
 	a, err := s.core.Submit(ctx, func(state *cluster.State) (events []cluster.Event, a *cluster.Answer, err error) {
@@ -205,7 +210,7 @@
 		return events, a, nil
 	})
 	if err != nil {
-		return nil, coded(err)
+		return nil, withCode(err)
 	}
 	return &api.ChangeReply{Version: a.Version, Detail: a.Detail, Ran: ran}, nil
 }
