--- a/control/cmd/catkinrail-control/daemon.go
+++ b/control/cmd/catkinrail-control/daemon.go
@@ -36,41 +36,45 @@
 	"catkinrail.example/catkinrail/transport/rpc"
 )
 
-// Timing of joining.
+// Intervals of retries.
 const (
 	joinInterval      = 200 * time.Millisecond
 	bootstrapInterval = 200 * time.Millisecond
 )
 
-// daemon ties a control instance's parts together.
+// daemon runs a control instance. Its creator sets cfg, log and bootstrap, and run
+// the other fields.
 type daemon struct {
-	cfg       *Settings
-	log       *logs.Logger
+	cfg *Settings
+	log *logs.Logger
+	// bootstrap is set if an instance with an empty data folder creates a cluster.
 	bootstrap bool
 	creds     *rpc.Credentials
 	identity  *journal.Identity
 	dir       *disk.Dir
 	clock     *clock.System
-	// peers are the present seeds, which may change with the settings.
-	peers atomic.Pointer[[]string]
+	// seedAddrs are the current seeds, which change when the settings are reloaded.
+	seedAddrs atomic.Pointer[[]string]
 }
 
-// self says how others reach this instance.
+// self returns this instance's name, zone and addresses as other instances know them.
 func (d *daemon) self() quorum.Peer {
 	return quorum.Peer{Name: d.cfg.Name, Addr: d.cfg.Address, Zone: string(d.cfg.Zone), Public: d.cfg.Public}
 }
 
-// seeds returns the addresses through which other instances can be found.
+// seeds returns the addresses of control instances in the current settings.
 func (d *daemon) seeds() []string {
-	return *d.peers.Load()
+	return *d.seedAddrs.Load()
 }
 
-// setSeeds replaces them.
+// setSeeds replaces the seeds by the peers in cfg.
 func (d *daemon) setSeeds(cfg *Settings) {
 	list := cfg.peerAddrs()
-	d.peers.Store(&list)
+	d.seedAddrs.Store(&list)
 }
 
+// run opens the instance's data folder and starts its parts in the group. An initial
+// member with an empty log starts from a snapshot that holds the initial members.
 func (d *daemon) run(ctx context.Context, g *errgroup.Group) error {
 	d.clock = clock.New()
 	d.setSeeds(d.cfg)
@@ -79,7 +83,7 @@
 		return err
 	}
 	if d.creds == nil {
-		d.log.Info().Msg("TLS is off: for trials on loopback only")
+		d.log.Info().Msg("TLS is off; only loopback addresses are accepted")
 	}
 	if d.dir, err = disk.Open(d.cfg.Data); err != nil {
 		return err
@@ -91,7 +95,7 @@
 	if err != nil {
 		return catkinrail.At(err, "open journal", d.cfg.Data)
 	}
-	if d.initial() && len(stored.Snapshot.Members.Nodes) == 0 && len(stored.Entries) == 0 {
+	if d.isInitialMember() && len(stored.Snapshot.Members.Nodes) == 0 && len(stored.Entries) == 0 {
 		stored.Snapshot.Members = *d.initialMembers()
 		if err := j.SaveSnapshot(&stored.Snapshot, nil); err != nil {
 			return catkinrail.At(err, "bootstrap", d.cfg.Data)
@@ -100,7 +104,8 @@
 	return d.serve(ctx, g, j, stored)
 }
 
-// loadIdentity reads the folder's identity or gives a new folder one.
+// loadIdentity reads the identity in the data folder, or saves a new one there if the
+// folder has none.
 func (d *daemon) loadIdentity() error {
 	var err error
 	d.identity, err = journal.LoadIdentity(d.dir)
@@ -118,23 +123,24 @@
 		if err := d.refuseSecondBootstrap(); err != nil {
 			return err
 		}
-		d.identity.Node = initialID(own.Name)
+		d.identity.Node = initialNodeID(own.Name)
 	}
 	return journal.SaveIdentity(d.dir, d.identity)
 }
 
-// initial reports whether this instance began with the cluster and still has the
-// folder that it began with.
-func (d *daemon) initial() bool {
+// isInitialMember reports whether this instance is one of those that created the
+// cluster and still has its data folder of that time.
+func (d *daemon) isInitialMember() bool {
 	own := d.cfg.ownPeer()
-	return own != nil && d.identity.Node == initialID(own.Name)
+	return own != nil && d.identity.Node == initialNodeID(own.Name)
 }
 
-// errBootstrapped reports a cluster that has begun already.
-var errBootstrapped = errors.New("the cluster has begun already; start without --bootstrap")
+// errBootstrapped means that the cluster has been created before.
+var errBootstrapped = errors.New("the cluster exists already; start without --bootstrap")
 
-// refuseSecondBootstrap makes sure that no peer has a log yet. An instance that
-// lost its disk must not come back under its first identity.
+// refuseSecondBootstrap returns an error if a peer that can be reached has a log
+// already. An instance that lost its disk must not come back with its initial
+// identity, since its votes and log entries are lost.
 func (d *daemon) refuseSecondBootstrap() error {
 	if d.cfg.firstStart {
 		return nil
@@ -151,21 +157,24 @@
 	return nil
 }
 
-// initialID is the identity of a peer that began with the cluster.
-func initialID(name string) quorum.NodeID {
+// initialNodeID returns the node ID of an initial member, which each instance can
+// derive from the name. Other node IDs are random.
+func initialNodeID(name string) quorum.NodeID {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return quorum.NodeID(h.Sum64())
 }
 
+// initialMembers returns the members of a new cluster: all peers in the settings.
 func (d *daemon) initialMembers() *quorum.Members {
 	m := &quorum.Members{Nodes: map[quorum.NodeID]quorum.Peer{}}
 	for _, p := range d.cfg.Peers {
-		m.Nodes[initialID(p.Name)] = quorum.Peer{Name: p.Name, Addr: p.Address}
+		m.Nodes[initialNodeID(p.Name)] = quorum.Peer{Name: p.Name, Addr: p.Address}
 	}
 	return m
 }
 
+// serve creates the parts of the instance, connects them and starts them in the group.
 func (d *daemon) serve(ctx context.Context, g *errgroup.Group, j *journal.Journal, stored quorum.Stored) error {
 	l, err := rpc.Listen(ctx, d.cfg.Listen, d.creds)
 	if err != nil {
@@ -199,7 +208,7 @@
 	}
 	c.Start(ctx, g)
 	g.Go(func() error { return rpc.Serve(ctx, l, mux) })
-	g.Go(func() error { return d.join(ctx, c, voters) })
+	g.Go(func() error { return d.keepJoined(ctx, c, voters) })
 	reg := metrics.NewRegistry()
 	if d.cfg.Metrics != "" {
 		g.Go(func() error { return d.serveMetrics(ctx, c, reg) })
@@ -214,15 +223,16 @@
 	return nil
 }
 
-// join asks for a vote whenever this instance has none, and when it hears of no
-// leader: it may have been removed while it was away.
-func (d *daemon) join(ctx context.Context, c *core.Core, v *voter.Voters) error {
+// keepJoined requests to join, at an interval, while this instance isn't a voter with
+// its own name and addresses. It also does so without contact to a leader: the
+// instance may have been removed while it was away.
+func (d *daemon) keepJoined(ctx context.Context, c *core.Core, v *voter.Voters) error {
 	req := &message.JoinRequest{Node: d.identity.Node, Peer: d.self()}
 	ticker := time.NewTicker(joinInterval)
 	defer ticker.Stop()
 	for i := 0; ; i++ {
 		if !c.Joined(req.Peer) {
-			d.askToJoin(ctx, c, v, req, i)
+			d.requestJoin(ctx, c, v, req, i)
 		}
 		select {
 		case <-ctx.Done():
@@ -232,13 +242,14 @@
 	}
 }
 
-// askToJoin asks the leader, if one is known, or else one instance after the
-// other.
-func (d *daemon) askToJoin(ctx context.Context, c *core.Core, v *voter.Voters, req *message.JoinRequest, attempt int) {
+// requestJoin sends a join request. Even attempts go to the leader if one is known,
+// the others to the known instances in turn. A leader sends it to itself, so that its
+// own name and addresses get updated.
+func (d *daemon) requestJoin(ctx context.Context, c *core.Core, v *voter.Voters, req *message.JoinRequest, attempt int) {
 	snap := c.Snapshot()
 	if snap.Leader == snap.Node {
 		if _, err := c.Join(ctx, req); err != nil {
-			d.log.Debug().Err(err).Msg("own addresses not told yet")
+			d.log.Debug().Err(err).Msg("join request to itself failed")
 		}
 		return
 	}
@@ -258,12 +269,12 @@
 		return
 	}
 	if _, err := v.Join(ctx, addr, req); err != nil {
-		d.log.Debug().Err(err).Str("peer", addr).Msg("not joined yet")
+		d.log.Debug().Err(err).Str("peer", addr).Msg("join request failed")
 	}
 }
 
-// serveMetrics serves metrics and health. The instance is ready while it knows a
-// leader.
+// serveMetrics serves the metrics and health pages until ctx ends. The instance is
+// ready while it knows a leader.
 func (d *daemon) serveMetrics(ctx context.Context, c *core.Core, reg metrics.Registry) error {
 	version := metrics.GetOrRegisterGauge("version", reg)
 	commit := metrics.GetOrRegisterGauge("commit-index", reg)
--- a/control/cmd/catkinrail-control/platform.go
+++ b/control/cmd/catkinrail-control/platform.go
@@ -9,27 +9,28 @@
 	"catkinrail.example/catkinrail/transport/rpc"
 )
 
-// Settings of a control instance on the platform.
+// Timeouts and limits of a control instance on the platform.
 const (
-	// evictAfter exceeds the losses that an instance comes back from, a freeze
-	// and a network partition of seconds.
+	// evictAfter is longer than the outages that an instance recovers from by itself,
+	// such as a freeze or a network partition of a few seconds.
 	evictAfter = 12 * time.Second
-	// missedReports is the number of reports that may go amiss before a backend
-	// server counts as silent: one that waited a second for its answer, and one
-	// that went to the next instance.
+	// missedReports is the number of reports that may be lost before a backend
+	// server counts as silent: one that waited for its answer until reportTimeout,
+	// and one that went to the next instance.
 	missedReports = 2
-	// reportTimeout is how long a backend server waits for an answer.
+	// reportTimeout is how long a backend server waits for the answer to a report.
 	reportTimeout = time.Second
 )
 
-// platformSettings translates the contents of the platform's settings file.
+// platformSettings returns the settings that follow from the contents b of the
+// platform's settings file. The file's name is used in errors only.
 func platformSettings(file string, b []byte) (*Settings, error) {
 	n, err := platform.ParseNode(file, b)
 	if err != nil {
 		return nil, err
 	}
 	if !n.Control.IsValid() || n.Data == "" {
-		return nil, fmt.Errorf("%s: a control instance needs an address for callers and a data folder", file)
+		return nil, fmt.Errorf("%s: a control instance needs both listen.control and data_dir", file)
 	}
 	cfg := &Settings{
 		Name: n.Name, Zone: n.Zone, Address: n.Internal.String(), Listen: n.InternalListen.String(), Data: n.Data, Lease: defaultLease,
--- a/control/cmd/catkinrail-control/settings.go
+++ b/control/cmd/catkinrail-control/settings.go
@@ -11,13 +11,13 @@
 	"catkinrail.example/catkinrail/transport/rpc"
 )
 
-// Limits of the settings.
+// Defaults and limits of the settings.
 const (
 	defaultLease = 1500 * time.Millisecond
 	minLease     = 500 * time.Millisecond
 	maxLease     = 10 * time.Second
 	minPeers     = 1
-	// defaultSilentAfter allows for two reports that went amiss.
+	// defaultSilentAfter allows for two lost reports.
 	defaultSilentAfter = 4 * time.Second
 	maxPeers           = 7
 )
@@ -26,38 +26,39 @@
 type Settings struct {
 	Name string          `yaml:"name"`
 	Zone catkinrail.Zone `yaml:"zone"`
-	// Address is where others reach the instance.
+	// Address is the address at which other instances and operators reach this one.
 	Address string `yaml:"address"`
-	// Listen is where it takes their calls; empty for Address.
+	// Listen is the address to listen on for their calls; empty for Address.
 	Listen string `yaml:"listen"`
-	// Data is the folder of the instance's durable state.
+	// Data is the folder that holds the instance's durable state.
 	Data string `yaml:"data"`
-	// Peers are all control instances, this one included.
+	// Peers are the control instances, including this one.
 	Peers []Peer `yaml:"peers"`
-	// Lease is the length of an entry instance's lease.
+	// Lease is the duration of an entry instance's lease.
 	Lease time.Duration `yaml:"lease"`
-	// Public is where backend servers and operators reach the instance over HTTP;
-	// empty for none.
+	// Public is the address at which backend servers and operators reach the instance
+	// over HTTP; empty for none.
 	Public string `yaml:"public"`
-	// EvictAfter is the silence after which a control instance loses its vote
-	// until it joins again; zero for never.
+	// EvictAfter is the time out of contact after which a control instance is removed
+	// from the members until it joins again; zero for never.
 	EvictAfter time.Duration `yaml:"evict-after"`
 	// SilentAfter is the time without a report after which a backend server gets
 	// no new flows.
 	SilentAfter time.Duration `yaml:"silent-after"`
-	// NoLeases is set where all entry instances route by token and need no leases;
-	// the instances then agree on a leader sooner after a loss of all.
+	// NoLeases is set if all entry instances route by token and need no leases. The
+	// control instances then elect a leader sooner after all of them were lost.
 	NoLeases bool `yaml:"no-leases"`
 	// Metrics is the address of the metrics and health pages; empty for none.
 	Metrics string          `yaml:"metrics"`
 	TLS     rpc.TLSSettings `yaml:"tls"`
 	Log     logs.Settings   `yaml:"log"`
 
-	// firstStart is set if the platform vouches that no earlier start had disks.
+	// firstStart is set if the platform states that the whole system starts for the
+	// first time, so that no instance has stored anything yet.
 	firstStart bool
 }
 
-// ownPeer returns this instance among the peers, or nil.
+// ownPeer returns the peer with this instance's address, or nil if there is none.
 func (s *Settings) ownPeer() *Peer {
 	for i := range s.Peers {
 		if s.Peers[i].Address == s.Address {
@@ -67,6 +68,7 @@
 	return nil
 }
 
+// peerAddrs returns the addresses of the peers.
 func (s *Settings) peerAddrs() []string {
 	var list []string
 	for _, p := range s.Peers {
@@ -75,13 +77,13 @@
 	return list
 }
 
-// Peer names a control instance.
+// Peer is a control instance in the settings.
 type Peer struct {
 	Name    string `yaml:"name"`
 	Address string `yaml:"address"`
 }
 
-// Validate implements settings.Section.
+// Validate implements settings.Section. It also fills in defaults.
 func (s *Settings) Validate() []catkinrail.FieldError {
 	var errs []catkinrail.FieldError
 	add := func(field, reason string) {
