--- a/control/gossip/gossip.go
+++ b/control/gossip/gossip.go
@@ -53,7 +53,9 @@
 	Creds *rpc.Credentials
 	Group *errgroup.Group
 	// Seeds returns addresses of control instances that may not be members yet.
-	Seeds  func() []string
+	Seeds func() []string
+	// Silent is the time without a report after which a backend server counts as
+	// silent.
 	Silent time.Duration
 	// Members returns the members that this instance knows; it must not block.
 	Members func() *quorum.Members
