--- a/control/gossip/gossip.go
+++ b/control/gossip/gossip.go
@@ -54,9 +54,9 @@
 	Group *errgroup.Group
 	// Seeds returns addresses of control instances that may not be members yet.
 	Seeds func() []string
-	// Silent is the time without a report after which a backend server counts as
+	// SilentAfter is the time without a report after which a backend server counts as
 	// silent.
-	Silent time.Duration
+	SilentAfter time.Duration
 	// Members returns the members that this instance knows; it must not block.
 	Members func() *quorum.Members
 	// Dir is where the directory is saved; nil disables saving.
@@ -84,7 +84,7 @@
 
 // New returns a directory that is restored from disk if it has been saved.
 func New(cfg Config) *Directory {
-	d := &Directory{cfg: cfg, dir: directory.New(cfg.Silent), peers: map[string]*peer{}, changed: make(chan struct{})}
+	d := &Directory{cfg: cfg, dir: directory.New(cfg.SilentAfter), peers: map[string]*peer{}, changed: make(chan struct{})}
 	d.load()
 	return d
 }
@@ -247,7 +247,7 @@
 		return
 	}
 	if silent := d.dir.Tick(now); len(silent) > 0 {
-		d.cfg.Log.Info().Strs("backends", silent).Dur("after", d.cfg.Silent).Msg("backend servers silent")
+		d.cfg.Log.Info().Strs("backends", silent).Dur("after", d.cfg.SilentAfter).Msg("backend servers silent")
 		d.notifyChange()
 	}
 }
