--- a/control/cmd/catkinrail-control/daemon.go
+++ b/control/cmd/catkinrail-control/daemon.go
@@ -226,7 +226,7 @@
 // keepJoined requests to join, at an interval, while this instance isn't a voter with
 // its own name and addresses. It also does so without contact to a leader: the
 // instance may have been removed while it was away.
-func (d *daemon) keepJoined(ctx context.Context, c *core.Core, v *voter.Voters) error {
+func (d *daemon) keepJoined(ctx context.Context, c *core.Core, v *voter.Transport) error {
 	req := &message.JoinRequest{Node: d.identity.Node, Peer: d.self()}
 	ticker := time.NewTicker(joinInterval)
 	defer ticker.Stop()
@@ -245,7 +245,7 @@
 // requestJoin sends a join request. Even attempts go to the leader if one is known,
 // the others to the known instances in turn. A leader sends it to itself, so that its
 // own name and addresses get updated.
-func (d *daemon) requestJoin(ctx context.Context, c *core.Core, v *voter.Voters, req *message.JoinRequest, attempt int) {
+func (d *daemon) requestJoin(ctx context.Context, c *core.Core, v *voter.Transport, req *message.JoinRequest, attempt int) {
 	snap := c.Snapshot()
 	if snap.Leader == snap.Node {
 		if _, err := c.Join(ctx, req); err != nil {
@@ -262,7 +262,7 @@
 	addr := known[attempt%len(known)]
 	if leader, ok := snap.Members.Nodes[snap.Leader]; ok && attempt%2 == 0 {
 		addr = leader.Addr
-	} else if named := v.Leader(); named != "" && attempt%2 == 0 {
+	} else if named := v.LeaderAddr(); named != "" && attempt%2 == 0 {
 		addr = named
 	}
 	if addr == d.cfg.Address {
--- a/control/entry/server.go
+++ b/control/entry/server.go
@@ -80,7 +80,7 @@
 		events, id, err = plan.Register(state, &reg)
 		return events, err
 	})
-	return encodeReply(&message.Registered{ID: id}, withCode(err))
+	return encodeReply(&message.RegisterReply{ID: id}, withCode(err))
 }
 
 // Heartbeat implements control.DRPCControlServer.
@@ -105,7 +105,7 @@
 		return nil, ctx.Err()
 	}
 	// The reports in the heartbeat were recorded by the first call.
-	followUp := message.Heartbeat{ID: hb.ID, Term: hb.Term, Have: hb.Have, Synced: hb.Synced, Busy: hb.Busy}
+	followUp := message.Heartbeat{ID: hb.ID, Term: hb.Term, StateVersion: hb.StateVersion, Synced: hb.Synced, Busy: hb.Busy}
 	r, _, err = s.core.Heartbeat(ctx, &followUp)
 	return encodeReply(r, withCode(err))
 }
@@ -116,7 +116,7 @@
 		return nil, drpcerr.WithCode(err, uint64(api.Code_FORBIDDEN))
 	}
 	var change cluster.Change
-	if err := cluster.DecodePacked(f.GetBody(), &change); err != nil {
+	if err := cluster.DecodeCompressed(f.GetBody(), &change); err != nil {
 		return nil, drpcerr.WithCode(err, uint64(api.Code_INVALID))
 	}
 	if len(change.Events) != 1 || change.Events[0].DocumentPut == nil {
@@ -134,7 +134,7 @@
 		return nil, drpcerr.WithCode(err, uint64(api.Code_FORBIDDEN))
 	}
 	index, err := s.core.ReadIndex(ctx)
-	return encodeReply(&message.ReadMark{Index: index}, withCode(err))
+	return encodeReply(&message.ReadIndexReply{Index: index}, withCode(err))
 }
 
 // Gossip implements control.DRPCControlServer.
@@ -143,7 +143,7 @@
 	if err := decodeRequest(ctx, f, &g, rpc.RoleControl); err != nil {
 		return nil, err
 	}
-	body, err := cluster.EncodePacked(s.dir.Gossip(&g))
+	body, err := cluster.EncodeCompressed(s.dir.Gossip(&g))
 	if err != nil {
 		return nil, err
 	}
@@ -167,7 +167,7 @@
 	if err := rpc.RequireRole(ctx, roles...); err != nil {
 		return drpcerr.WithCode(err, uint64(api.Code_FORBIDDEN))
 	}
-	if err := cluster.DecodePacked(f.GetBody(), v); err != nil {
+	if err := cluster.DecodeCompressed(f.GetBody(), v); err != nil {
 		return drpcerr.WithCode(err, uint64(api.Code_INVALID))
 	}
 	return nil
--- a/control/follow/feed.go
+++ b/control/follow/feed.go
@@ -69,7 +69,7 @@
 	for i := range list {
 		u.Backends[i] = message.FollowedBackend{Incarnation: list[i].Incarnation, Silent: list[i].Silent}
 	}
-	body, err := cluster.EncodePacked(u)
+	body, err := cluster.EncodeCompressed(u)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -103,7 +103,7 @@
 	}
 	withoutSource := *d
 	withoutSource.Source = nil
-	body, err := cluster.EncodePacked(&message.FollowUpdate{Document: &withoutSource})
+	body, err := cluster.EncodeCompressed(&message.FollowUpdate{Document: &withoutSource})
 	if err != nil {
 		return nil, err
 	}
--- a/control/follow/server.go
+++ b/control/follow/server.go
@@ -96,7 +96,7 @@
 // sendEmpty sends an empty update, so that the entry instance soon knows that this
 // instance answers, however long the first update takes on a slow link.
 func (st *stream) sendEmpty() error {
-	body, err := cluster.EncodePacked(&message.FollowUpdate{})
+	body, err := cluster.EncodeCompressed(&message.FollowUpdate{})
 	if err != nil {
 		return err
 	}
@@ -205,7 +205,7 @@
 			u.Peers = append(u.Peers, snap.Members.Nodes[id])
 		}
 	}
-	body, err := cluster.EncodePacked(u)
+	body, err := cluster.EncodeCompressed(u)
 	if err != nil {
 		return err
 	}
--- a/control/gossip/gossip.go
+++ b/control/gossip/gossip.go
@@ -140,7 +140,7 @@
 
 func (d *Directory) logIncarnation(inc *catkinrail.Incarnation, text, from string) {
 	d.cfg.Log.Info().Str("backend", inc.Name).Str("service", inc.Service).Stringer("address", inc.Addr).
-		Str("zone", string(inc.Zone)).Int64("born", inc.Born).Uint64("sequence", inc.Sequence).
+		Str("zone", string(inc.Zone)).Int64("born", inc.StartedAt).Uint64("sequence", inc.Sequence).
 		Bool("draining", inc.Draining).Bool("gone", inc.Gone).Str("from", from).Msg(text)
 }
 
@@ -151,8 +151,8 @@
 	now := d.now()
 	d.merge(g.Changed, "gossip", now)
 	r := &message.GossipReply{}
-	for _, p := range g.Pulses {
-		if !d.dir.Renew(p.Name, p.Born, p.Sequence, p.Draining, now) {
+	for _, p := range g.Renewals {
+		if !d.dir.Renew(p.Name, p.StartedAt, p.Sequence, p.Draining, now) {
 			r.Differs = true
 		}
 	}
--- a/control/gossip/gossip_test.go
+++ b/control/gossip/gossip_test.go
@@ -67,7 +67,7 @@
 
 func incarnation(name, zone string, sequence uint64) *catkinrail.Incarnation {
 	return &catkinrail.Incarnation{
-		Name: name, Identity: 1, Born: 100, Sequence: sequence, Service: "logbook", Zone: catkinrail.Zone(zone), Slots: 2,
+		Name: name, Identity: 1, StartedAt: 100, Sequence: sequence, Service: "logbook", Zone: catkinrail.Zone(zone), Slots: 2,
 		Addr: netip.MustParseAddrPort("10.0.0." + name[len(name)-1:] + ":80"),
 	}
 }
--- a/entry/cmd/catkinrail-entry/daemon.go
+++ b/entry/cmd/catkinrail-entry/daemon.go
@@ -124,7 +124,7 @@
 		if has {
 			leased.Update(1)
 		}
-		if d.client.Ready() && (has || d.engine.Cut()) {
+		if d.client.Ready() && (has || d.engine.Partitioned()) {
 			return nil
 		}
 		return errNotReady
