--- a/control/operator/directory.go
+++ b/control/operator/directory.go
@@ -11,33 +11,33 @@
 	"catkinrail.example/catkinrail/transport/rpc"
 )
 
-// Directory implements api.DRPCOperatorServer. It doesn't ask the leader, so that it
-// also answers in a minority.
+// Directory implements api.DRPCOperatorServer. It doesn't need the leader, so that it
+// also answers on the minority side of a partition.
 func (s *Server) Directory(ctx context.Context, _ *api.Empty) (*api.DirectoryReply, error) {
 	if err := rpc.RequireRole(ctx, rpc.RoleOperator); err != nil {
-		return nil, coded(err)
+		return nil, withCode(err)
 	}
 	now := s.clock.Now()
-	reply := &api.DirectoryReply{Control: s.name, Current: s.follow.InTouch()}
+	reply := &api.DirectoryReply{Control: s.name, Current: s.follow.InContact()}
 	if d := s.core.Snapshot().Document; d != nil {
 		reply.DocumentVersion = d.Version
 	}
 	list, _, _ := s.dir.Since(0)
 	for i := range list {
-		reply.BackendServers = append(reply.BackendServers, describeReporting(&list[i], now))
+		reply.BackendServers = append(reply.BackendServers, describeReportingServer(&list[i], now))
 	}
 	slices.SortFunc(reply.BackendServers, func(a, b *api.ReportingServer) int {
 		return strings.Compare(a.Service+"\x00"+a.Name, b.Service+"\x00"+b.Name)
 	})
 	for _, f := range s.follow.Followers() {
 		reply.Followers = append(reply.Followers, &api.Follower{
-			Name: f.Name, Zone: string(f.Zone), DocumentVersion: f.Document, AgeMs: now.Sub(f.Began).Milliseconds(),
+			Name: f.Name, Zone: string(f.Zone), DocumentVersion: f.Document, AgeMs: now.Sub(f.StartedAt).Milliseconds(),
 		})
 	}
 	return reply, nil
 }
 
-func describeReporting(v *directory.View, now time.Time) *api.ReportingServer {
+func describeReportingServer(v *directory.View, now time.Time) *api.ReportingServer {
 	return &api.ReportingServer{
 		Name: v.Name, Service: v.Service, Zone: string(v.Zone), Address: v.Addr.String(), Slots: uint32(v.Slots),
 		State: reportingState(v), Born: v.StartedAt, Sequence: v.Sequence, AgeMs: now.Sub(time.Unix(0, v.LastReport)).Milliseconds(),
