--- a/entry/follow/client.go
+++ b/entry/follow/client.go
@@ -1,5 +1,5 @@
-// Package follow keeps an entry instance up to date with what control knows, by
-// a stream from one control instance, of its own availability zone if it can.
+// Package follow keeps an entry instance's document and backend servers up to date
+// over a stream from one control instance, preferably in its own availability zone.
 package follow
 
 import (
@@ -21,35 +21,40 @@
 
 // Timing of the stream.
 const (
-	// silentAfter is the time without an update after which the stream is given
-	// up: control sends one each 400 ms.
-	silentAfter = time.Second
-	// helloAfter is the time within which a control instance must say anything at all,
-	// once this instance has a document. Two that don't must leave room in the bound
-	// on a draining backend server; at a start, when all come at once, there is more.
-	helloAfter = 500 * time.Millisecond
-	// staleAfter is how long a control instance may be out of touch with its
-	// leader before another is tried: an election or two.
-	staleAfter = 1200 * time.Millisecond
-	// staleFirst is the same for a control instance that was not in touch since the
-	// stream began, and before the first document: another one is likely to be, and
-	// several that are not must not use up the bound on a change together.
-	staleFirst = 200 * time.Millisecond
-	// maxStaleFirst bounds staleFirst while no control instance is in touch: below the
-	// time for which an instance must be connected until bounds hold for it again.
-	maxStaleFirst = 1600 * time.Millisecond
-	// returnAfter is the time after which the control instance of the own zone is
-	// tried again.
-	returnAfter = 5 * time.Second
-	// minBackoff and maxBackoff bound the time between attempts that failed. They
-	// are short: after a loss of everything, service waits for this.
+	// updateTimeout is the time without an update after which the stream is closed.
+	// Control instances send one at least every 400 ms.
+	updateTimeout = time.Second
+	// firstUpdateTimeout limits the wait for the first update of a stream once this
+	// instance is ready. Two streams in a row without one must leave time to apply
+	// the draining of a backend server within its limit of 3 s. Before readiness,
+	// when many instances connect at once, updateTimeout applies instead.
+	firstUpdateTimeout = 500 * time.Millisecond
+	// contactTimeout is how long a control instance may be out of contact with its
+	// leader before another one is tried. It allows for one or two elections.
+	contactTimeout = 1200 * time.Millisecond
+	// minFirstContactTimeout is the initial value of the timeout that replaces
+	// contactTimeout before this instance is ready, and for a control instance that
+	// has not been in contact with a leader since the stream began. Another one
+	// probably is, and several in a row that are not must leave time to apply a change
+	// within its limit of 3 s.
+	minFirstContactTimeout = 200 * time.Millisecond
+	// maxFirstContactTimeout limits how far that timeout grows while no control
+	// instance is in contact with a leader. It is below the time for which an instance
+	// must be connected before the limits on changes apply to it again.
+	maxFirstContactTimeout = 1600 * time.Millisecond
+	// returnDelay is the time after a stream from its own zone before the instance
+	// switches back to that zone.
+	returnDelay = 5 * time.Second
+	// minBackoff and maxBackoff limit the delay after a failed attempt. They are short
+	// because service depends on this delay after all instances have failed.
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = 160 * time.Millisecond
-	// streamTimeout bounds a stream's life.
+	// streamTimeout limits the duration of a stream.
 	streamTimeout = 24 * time.Hour
 )
 
-// Client follows control.
+// Client follows one control instance at a time and passes its updates to the
+// token engine.
 type Client struct {
 	name   string
 	zone   catkinrail.Zone
@@ -62,61 +67,62 @@
 	mu    sync.Mutex
 	seeds []string
 	peers []quorum.Peer
-	// at is the number of the next attempt among all that are not of this zone.
-	at int
-	// ownLeft is the time at which the last stream from the own zone ended.
-	ownLeft time.Time
-	// resume is where the last stream ended, at the address that it came from.
+	// attempt counts the attempts outside this zone; it selects the next address.
+	attempt int
+	// ownZoneEndedAt is the time at which the last stream from this zone ended.
+	ownZoneEndedAt time.Time
+	// resume is the point that the last stream reached; resumeAddr is its address.
 	resume     message.ResumePoint
 	resumeAddr string
-	// untouched is the number of streams in a row from control instances that never
-	// were in touch with a leader.
-	untouched int
-	// unheard is the number of streams in a row on which nothing came.
-	unheard int
+	// withoutContact is the number of consecutive streams whose control instance was
+	// never in contact with a leader.
+	withoutContact int
+	// unanswered is the number of consecutive streams without any update.
+	unanswered int
 }
 
-// New returns a client that finds control through the seeds.
+// New returns a client that finds the control instances through the seeds, which
+// are addresses of some of them.
 func New(name string, zone catkinrail.Zone, seeds []string, creds *rpc.Credentials, clock catkinrail.Clock, r *packet.Router, log *logs.Logger) *Client {
-	return &Client{name: name, zone: zone, seeds: seeds, creds: creds, clock: clock, router: r, log: log, at: rand.IntN(max(1, len(seeds)))}
+	return &Client{name: name, zone: zone, seeds: seeds, creds: creds, clock: clock, router: r, log: log, attempt: rand.IntN(max(1, len(seeds)))}
 }
 
-// SetSeeds replaces the seeds.
+// SetSeeds replaces the seed addresses.
 func (c *Client) SetSeeds(seeds []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seeds = seeds
 }
 
-// Ready reports whether the instance has had a current document and a whole
-// directory since its start.
+// Ready reports whether the instance has received a current document and a complete
+// directory since it started.
 func (c *Client) Ready() bool {
 	return c.synced.Load()
 }
 
-// Run follows control until ctx ends.
+// Run follows control instances until ctx ends.
 func (c *Client) Run(ctx context.Context) error {
 	backoff := minBackoff
 	own := false
 	for ctx.Err() == nil {
-		// Whatever ended a stream from the own zone, another instance is known to
-		// be worth a try before it.
+		// After a stream from this zone, for whatever reason it ended, a control
+		// instance of another zone is tried first.
 		var addr string
-		addr, own = c.choose(own)
-		s := &session{client: c, addr: addr, own: own}
+		addr, own = c.chooseAddr(own)
+		s := &session{client: c, addr: addr, ownZone: own}
 		err := s.run(ctx)
-		c.ended(s)
+		c.recordEnd(s)
 		if own {
-			c.leftOwn()
+			c.recordOwnZoneEnd()
 		}
-		if s.updates > 0 {
+		if s.stateUpdates > 0 {
 			backoff = minBackoff
 		}
-		if ctx.Err() != nil || s.moved {
+		if ctx.Err() != nil || s.switched {
 			continue
 		}
-		if s.updates > 0 {
-			c.log.Warn(err).Str("control", addr).Int("updates", s.updates).Msg("control instance lost")
+		if s.stateUpdates > 0 {
+			c.log.Warn(err).Str("control", addr).Int("updates", s.stateUpdates).Msg("control instance lost")
 		}
 		clock.Sleep(ctx, backoff/2+rand.N(backoff))
 		backoff = min(2*backoff, maxBackoff)
@@ -124,47 +130,49 @@
 	return nil
 }
 
-// ended notes how a stream ended.
-func (c *Client) ended(s *session) {
+// recordEnd updates the numbers of consecutive streams without an update and without
+// contact with a leader.
+func (c *Client) recordEnd(s *session) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.unheard++
-	if s.heard {
-		c.unheard = 0
+	c.unanswered++
+	if s.received {
+		c.unanswered = 0
 	}
 	switch {
-	case s.touched:
-		c.untouched = 0
-	case s.updates > 0:
-		c.untouched++
+	case s.hadContact:
+		c.withoutContact = 0
+	case s.stateUpdates > 0:
+		c.withoutContact++
 	}
 }
 
-// helloAfter returns how long a control instance may say nothing at first. Once all
-// have been tried, it may be the way there that is slow.
-func (c *Client) helloAfter() time.Duration {
+// firstUpdateTimeout returns the limit on the wait for a stream's first update. It is
+// longer after as many unanswered streams as there are control instances, because
+// then the link of this instance may be slow.
+func (c *Client) firstUpdateTimeout() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.unheard >= max(len(c.peers), len(c.seeds)) {
-		return silentAfter
+	if c.unanswered >= max(len(c.peers), len(c.seeds)) {
+		return updateTimeout
 	}
-	return helloAfter
+	return firstUpdateTimeout
 }
 
-// staleFirst returns how long a control instance may be out of touch that was not in
-// touch since the stream began. It grows once all have been tried twice: then this
-// instance is cut off with those that it reaches, and streams that begin anew all the
-// time would only keep them busy.
-func (c *Client) staleFirst() time.Duration {
+// firstContactTimeout returns how long a control instance may take to get in contact
+// with its leader after the stream began. It doubles each time that all control
+// instances have been tried twice without contact: this instance is then probably
+// partitioned together with those it reaches, and frequent new streams only load them.
+func (c *Client) firstContactTimeout() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	const maxDoublings = 10
-	rounds := c.untouched / max(1, 2*(len(c.peers)+len(c.seeds)))
-	return min(staleFirst<<min(rounds, maxDoublings), maxStaleFirst)
+	rounds := c.withoutContact / max(1, 2*(len(c.peers)+len(c.seeds)))
+	return min(minFirstContactTimeout<<min(rounds, maxDoublings), maxFirstContactTimeout)
 }
 
-// resumeAt returns where a stream from the address can go on.
-func (c *Client) resumeAt(addr string) message.ResumePoint {
+// resumePoint returns the point from which a stream from the address can resume.
+func (c *Client) resumePoint(addr string) message.ResumePoint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if addr != c.resumeAddr {
@@ -173,9 +181,9 @@
 	return c.resume
 }
 
-// told notes how far a stream has come. What one control instance has observed
-// replaces what another has, so that only the last stream can go on.
-func (c *Client) told(addr string, u *message.FollowUpdate) {
+// recordProgress records the point that a stream has reached. The observations of one
+// control instance replace those of another, so only the last stream can resume.
+func (c *Client) recordProgress(addr string, u *message.FollowUpdate) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if addr != c.resumeAddr && (u.State || len(u.Backends) > 0) {
@@ -186,12 +194,12 @@
 	}
 }
 
-// choose returns the control instance to follow: that of the own zone, or one
-// after the other if it is to be avoided.
-func (c *Client) choose(avoidOwn bool) (addr string, own bool) {
+// chooseAddr returns the address of the control instance to follow: the one in this
+// zone, or, if there is none or it is to be avoided, the others in turn.
+func (c *Client) chooseAddr(avoidOwn bool) (addr string, own bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ownAddr := c.ownZone()
+	ownAddr := c.ownZoneAddr()
 	if ownAddr != "" && !avoidOwn {
 		return ownAddr, true
 	}
@@ -210,13 +218,13 @@
 	if len(list) == 0 {
 		return ownAddr, true
 	}
-	c.at++
-	return list[c.at%len(list)], false
+	c.attempt++
+	return list[c.attempt%len(list)], false
 }
 
-// ownZone returns a control instance of the own zone, or an empty string. The
-// caller holds mu.
-func (c *Client) ownZone() string {
+// ownZoneAddr returns the address of a control instance in this zone, or an empty
+// string. The caller holds mu.
+func (c *Client) ownZoneAddr() string {
 	for _, p := range c.peers {
 		if p.Zone == string(c.zone) {
 			return p.Addr
@@ -234,18 +242,18 @@
 	c.peers = peers
 }
 
-// leftOwn notes that a stream from the own zone has ended.
-func (c *Client) leftOwn() {
+// recordOwnZoneEnd records the time at which a stream from this zone ended.
+func (c *Client) recordOwnZoneEnd() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ownLeft = c.clock.Now()
+	c.ownZoneEndedAt = c.clock.Now()
 }
 
-// better reports whether the control instance of the own zone is another one,
-// and its last stream ended long enough ago to try it again.
-func (c *Client) better(addr string) bool {
+// shouldReturn reports whether to switch from the address to this zone's control
+// instance: it is another one, and its last stream ended over returnDelay ago.
+func (c *Client) shouldReturn(addr string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	own := c.ownZone()
-	return own != "" && own != addr && c.clock.Now().Sub(c.ownLeft) > returnAfter
+	own := c.ownZoneAddr()
+	return own != "" && own != addr && c.clock.Now().Sub(c.ownZoneEndedAt) > returnDelay
 }
--- a/entry/follow/client_test.go
+++ b/entry/follow/client_test.go
@@ -40,10 +40,10 @@
 		own      bool
 		among    []string
 	}{
-		{"before any is known", "a", nil, false, false, []string{"s:1", "s:2"}},
+		{"only seeds known", "a", nil, false, false, []string{"s:1", "s:2"}},
 		{"own zone first", "a", peers, false, true, []string{"a:1"}},
-		{"anyone but the own zone's", "a", peers, true, false, []string{"b:1", "s:1", "s:2"}},
-		{"no instance in the own zone", "c", peers, false, false, []string{"a:1", "b:1", "s:1", "s:2"}},
+		{"own zone avoided", "a", peers, true, false, []string{"b:1", "s:1", "s:2"}},
+		{"no control instance in own zone", "c", peers, false, false, []string{"a:1", "b:1", "s:1", "s:2"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -51,108 +51,109 @@
 			c.setPeers(tt.peers)
 			seen := map[string]bool{}
 			for range 20 {
-				addr, own := c.choose(tt.avoidOwn)
+				addr, own := c.chooseAddr(tt.avoidOwn)
 				require.Equal(t, tt.own, own)
 				require.Contains(t, tt.among, addr)
 				seen[addr] = true
 			}
-			require.Len(t, seen, len(tt.among), "each of them is tried")
+			require.Len(t, seen, len(tt.among), "each address is tried")
 		})
 	}
 }
 
-// manual is a clock that tests set.
-type manual struct{ now time.Time }
+// manualClock is a clock whose time the tests set.
+type manualClock struct{ now time.Time }
 
-func (m *manual) Now() time.Time { return m.now }
+func (m *manualClock) Now() time.Time { return m.now }
 
-// TestStaysAwayFromAnOwnZoneThatFailed: an instance that stands still must not be
-// asked again each second, with no news meanwhile.
-func TestStaysAwayFromAnOwnZoneThatFailed(t *testing.T) {
-	clk := &manual{now: time.Unix(1000, 0)}
+// TestDelaysReturnToOwnZone guards against retrying a stalled control instance of
+// the own zone every second, with no updates in the meantime.
+func TestDelaysReturnToOwnZone(t *testing.T) {
+	clk := &manualClock{now: time.Unix(1000, 0)}
 	c, _ := newClient("a", "s:1")
 	c.clock = clk
 	c.setPeers([]quorum.Peer{{Addr: "a:1", Zone: "a"}, {Addr: "b:1", Zone: "b"}})
-	require.True(t, c.better("b:1"), "not tried yet")
-	require.False(t, c.better("a:1"))
-	c.leftOwn()
+	require.True(t, c.shouldReturn("b:1"), "no stream from this zone yet")
+	require.False(t, c.shouldReturn("a:1"))
+	c.recordOwnZoneEnd()
 	tests := []struct {
 		after time.Duration
 		want  bool
-	}{{0, false}, {time.Second, false}, {returnAfter, false}, {returnAfter + 1, true}}
+	}{{0, false}, {time.Second, false}, {returnDelay, false}, {returnDelay + 1, true}}
 	for _, tt := range tests {
 		clk.now = time.Unix(1000, 0).Add(tt.after)
-		require.Equal(t, tt.want, c.better("b:1"), tt.after)
+		require.Equal(t, tt.want, c.shouldReturn("b:1"), tt.after)
 	}
 }
 
-// TestPatience bounds the time with a control instance that is out of touch. Three
-// in a row that never were, after one that was, must leave room in the bound of 3 s
-// on a change.
-func TestPatience(t *testing.T) {
+// TestContactTimeouts checks how long a control instance out of contact is followed.
+// One that loses contact and then three that never had it must together take less
+// than the limit of 3 s on a change.
+func TestContactTimeouts(t *testing.T) {
 	tests := []struct {
-		name           string
-		ready, touched bool
-		after          time.Duration
-		leaves         bool
+		name              string
+		ready, hadContact bool
+		after             time.Duration
+		switches          bool
 	}{
-		{"an election", true, true, time.Second, false},
-		{"out of touch for long", true, true, staleAfter + time.Millisecond, true},
-		{"never in touch", true, false, staleFirst + time.Millisecond, true},
-		{"never in touch, just now", true, false, staleFirst - time.Millisecond, false},
-		{"before the first document", false, true, staleFirst + time.Millisecond, true},
+		{"during an election", true, true, time.Second, false},
+		{"contact lost for too long", true, true, contactTimeout + time.Millisecond, true},
+		{"never in contact", true, false, minFirstContactTimeout + time.Millisecond, true},
+		{"not in contact yet", true, false, minFirstContactTimeout - time.Millisecond, false},
+		{"before the first document", false, true, minFirstContactTimeout + time.Millisecond, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			clk := &manual{now: time.Unix(1000, 0)}
+			clk := &manualClock{now: time.Unix(1000, 0)}
 			c, _ := newClient("a", "s:1")
 			c.clock = clk
 			c.synced.Store(tt.ready)
-			s := &session{client: c, addr: "s:1", current: clk.now, touched: tt.touched}
+			s := &session{client: c, addr: "s:1", lastContact: clk.now, hadContact: tt.hadContact}
 			clk.now = clk.now.Add(tt.after)
-			require.Equal(t, tt.leaves, s.leave())
+			require.Equal(t, tt.switches, s.shouldSwitch())
 		})
 	}
-	// A stream that was in touch is left at a sign of life, the others by time.
+	// A stream that had contact ends at the next keep-alive after the timeout, the
+	// others end at the timeout.
 	const keepAlive = 400 * time.Millisecond
-	require.Less(t, staleAfter+keepAlive+3*(staleFirst+maxBackoff), 3*time.Second)
+	require.Less(t, contactTimeout+keepAlive+3*(minFirstContactTimeout+maxBackoff), 3*time.Second)
 }
 
-// TestPatienceGrows replays a cut-off zone, in which the only control instance that
-// is reached is never in touch: each stream takes the whole time that it's given.
-func TestPatienceGrows(t *testing.T) {
+// TestFirstContactTimeoutGrows simulates a partitioned zone: the only reachable control
+// instance is never in contact with a leader, and each stream lasts until the timeout.
+func TestFirstContactTimeoutGrows(t *testing.T) {
 	c, _ := newClient("a", "s:1")
 	c.setPeers([]quorum.Peer{{Addr: "a:1", Zone: "a"}})
-	cut := &session{client: c, updates: 1}
+	partitioned := &session{client: c, stateUpdates: 1}
 	streams := 0
-	for began := time.Duration(0); began < 30*time.Second; began += c.staleFirst() {
-		c.ended(cut)
+	for began := time.Duration(0); began < 30*time.Second; began += c.firstContactTimeout() {
+		c.recordEnd(partitioned)
 		streams++
 	}
-	require.LessOrEqual(t, streams, 30, "150 with a patience that stays")
-	require.Equal(t, maxStaleFirst, c.staleFirst())
-	c.ended(&session{client: c})
-	require.Equal(t, maxStaleFirst, c.staleFirst(), "one that was not reached tells nothing")
-	c.ended(&session{client: c, updates: 1, touched: true})
-	require.Equal(t, staleFirst, c.staleFirst())
+	require.LessOrEqual(t, streams, 30, "150 with a fixed timeout")
+	require.Equal(t, maxFirstContactTimeout, c.firstContactTimeout())
+	c.recordEnd(&session{client: c})
+	require.Equal(t, maxFirstContactTimeout, c.firstContactTimeout(), "an unanswered stream changes nothing")
+	c.recordEnd(&session{client: c, stateUpdates: 1, hadContact: true})
+	require.Equal(t, minFirstContactTimeout, c.firstContactTimeout())
 }
 
-// TestPatienceOnASlowLink replays an entry instance whose own link is slow: once none
-// of the control instances was heard in time, each gets more.
-func TestPatienceOnASlowLink(t *testing.T) {
+// TestFirstUpdateTimeoutOnSlowLink simulates an entry instance whose own link is slow:
+// after as many unanswered streams as there are seeds, the timeout is longer.
+func TestFirstUpdateTimeoutOnSlowLink(t *testing.T) {
 	c, _ := newClient("a", "s:1", "s:2")
 	c.synced.Store(true)
 	for range 2 {
 		s := &session{client: c}
-		require.Equal(t, helloAfter, s.patience())
-		c.ended(s)
+		require.Equal(t, firstUpdateTimeout, s.nextUpdateTimeout())
+		c.recordEnd(s)
 	}
-	require.Equal(t, silentAfter, (&session{client: c}).patience())
-	c.ended(&session{client: c, heard: true})
-	require.Equal(t, helloAfter, (&session{client: c}).patience())
+	require.Equal(t, updateTimeout, (&session{client: c}).nextUpdateTimeout())
+	c.recordEnd(&session{client: c, received: true})
+	require.Equal(t, firstUpdateTimeout, (&session{client: c}).nextUpdateTimeout())
 }
 
-// TestResume goes on where the last stream ended, if it came from the same address.
+// TestResume checks that a stream resumes only from the address of the last one.
 func TestResume(t *testing.T) {
 	point := message.ResumePoint{Process: 9, Revision: 12}
 	state := &message.FollowUpdate{State: true, Resume: point}
@@ -166,54 +167,54 @@
 		updates []update
 		want    message.ResumePoint
 	}{
-		{"nothing told", nil, message.ResumePoint{}},
-		{"another address", []update{{"b:1", state}}, message.ResumePoint{}},
-		{"told", []update{{"a:1", state}}, point},
-		{"more was told, but not up to which point", []update{{"a:1", state}, {"a:1", &message.FollowUpdate{}}}, point},
-		{"another one told something since", []update{{"a:1", state}, {"b:1", some}}, message.ResumePoint{}},
-		{"another one said that it is there", []update{{"a:1", state}, {"b:1", &message.FollowUpdate{}}}, point},
-		{"and this one began anew", []update{{"a:1", state}, {"b:1", state}, {"a:1", some}}, message.ResumePoint{}},
+		{"no update", nil, message.ResumePoint{}},
+		{"state from another address", []update{{"b:1", state}}, message.ResumePoint{}},
+		{"state from this address", []update{{"a:1", state}}, point},
+		{"then an update without state", []update{{"a:1", state}, {"a:1", &message.FollowUpdate{}}}, point},
+		{"then backend servers from another address", []update{{"a:1", state}, {"b:1", some}}, message.ResumePoint{}},
+		{"then an empty update from another address", []update{{"a:1", state}, {"b:1", &message.FollowUpdate{}}}, point},
+		{"then backend servers from this address again", []update{{"a:1", state}, {"b:1", state}, {"a:1", some}}, message.ResumePoint{}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c, _ := newClient("a", "s:1")
 			for _, u := range tt.updates {
-				c.told(u.addr, u.u)
+				c.recordProgress(u.addr, u.u)
 			}
-			require.Equal(t, tt.want, c.resumeAt("a:1"))
+			require.Equal(t, tt.want, c.resumePoint("a:1"))
 		})
 	}
 }
 
-func TestSilencePatience(t *testing.T) {
+func TestNextUpdateTimeout(t *testing.T) {
 	tests := []struct {
-		name                  string
-		ready, heard, touched bool
-		updates               int
-		want                  time.Duration
+		name                        string
+		ready, received, hadContact bool
+		stateUpdates                int
+		want                        time.Duration
 	}{
-		{"in touch", true, true, true, 1, silentAfter},
-		{"never in touch", true, true, false, 1, staleFirst},
-		{"nothing said yet", true, false, false, 0, helloAfter},
-		{"the first update is under way", true, true, false, 0, silentAfter},
-		{"before the first document", false, true, true, 1, silentAfter},
-		{"before the first document, never in touch", false, true, false, 1, silentAfter},
-		{"before the first document, nothing said yet", false, false, false, 0, silentAfter},
+		{"in contact", true, true, true, 1, updateTimeout},
+		{"never in contact", true, true, false, 1, minFirstContactTimeout},
+		{"no update yet", true, false, false, 0, firstUpdateTimeout},
+		{"no state yet", true, true, false, 0, updateTimeout},
+		{"before the first document", false, true, true, 1, updateTimeout},
+		{"before the first document, never in contact", false, true, false, 1, updateTimeout},
+		{"before the first document, no update yet", false, false, false, 0, updateTimeout},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c, _ := newClient("a", "s:1")
 			c.synced.Store(tt.ready)
-			require.Equal(t, tt.want, (&session{client: c, heard: tt.heard, touched: tt.touched, updates: tt.updates}).patience())
+			require.Equal(t, tt.want, (&session{client: c, received: tt.received, hadContact: tt.hadContact, stateUpdates: tt.stateUpdates}).nextUpdateTimeout())
 		})
 	}
-	// An instance that has stood still for as long as one is given, and then finds
-	// two that say nothing, must leave room in the bound of 3 s on a drain.
-	require.LessOrEqual(t, silentAfter+2*(helloAfter+maxBackoff), 3*time.Second)
+	// One stream that stalls and then two without an update must together take no
+	// longer than the limit of 3 s on a drain.
+	require.LessOrEqual(t, updateTimeout+2*(firstUpdateTimeout+maxBackoff), 3*time.Second)
 }
 
-// standIn is a control instance that sends prepared updates and then waits.
-type standIn struct {
+// fakeControl is a control instance that sends prepared updates and then blocks.
+type fakeControl struct {
 	control.DRPCControlUnimplementedServer
 	updates []*message.FollowUpdate
 
@@ -222,7 +223,7 @@
 }
 
 // Follow implements control.DRPCControlServer.
-func (s *standIn) Follow(_ *control.Frame, stream control.DRPCControl_FollowStream) error {
+func (s *fakeControl) Follow(_ *control.Frame, stream control.DRPCControl_FollowStream) error {
 	s.mu.Lock()
 	s.calls++
 	s.mu.Unlock()
@@ -239,14 +240,14 @@
 	return stream.Context().Err()
 }
 
-func (s *standIn) count() int {
+func (s *fakeControl) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// serve runs a stand-in on loopback and returns its address.
-func serve(t *testing.T, s *standIn) string {
+// serveControl runs a fake control instance on loopback and returns its address.
+func serveControl(t *testing.T, s *fakeControl) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -262,7 +263,7 @@
 	return l.Addr().String()
 }
 
-func follow(t *testing.T, c *Client, done func() bool) {
+func runUntil(t *testing.T, c *Client, done func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
@@ -272,82 +273,84 @@
 	require.NoError(t, g.Wait())
 }
 
-func document(version uint64) *catkinrail.Document {
+func newDocument(version uint64) *catkinrail.Document {
 	return &catkinrail.Document{Version: version, Services: []string{"logbook"}, Routes: []catkinrail.Route{{
 		Name: "r", Listen: netip.MustParseAddrPort("198.18.0.1:443"), Kind: catkinrail.KindSafe, Timeout: time.Second,
 		Targets: []catkinrail.Target{{Service: "logbook", Weight: 1}},
 	}}}
 }
 
-func version(r *packet.Router) uint64 {
+func documentVersion(r *packet.Router) uint64 {
 	var v uint64
 	r.Do(func(e *token.Engine, _ int64) { v = e.Version() })
 	return v
 }
 
 func TestReadyOnceControlIsCurrent(t *testing.T) {
-	s := &standIn{updates: []*message.FollowUpdate{{Document: document(5), State: true, Current: true, Complete: true}}}
-	c, r := newClient("a", serve(t, s))
+	s := &fakeControl{updates: []*message.FollowUpdate{{Document: newDocument(5), State: true, Current: true, Complete: true}}}
+	c, r := newClient("a", serveControl(t, s))
 	require.False(t, c.Ready())
-	follow(t, c, c.Ready)
-	require.Equal(t, uint64(5), version(r))
+	runUntil(t, c, c.Ready)
+	require.Equal(t, uint64(5), documentVersion(r))
 }
 
-// TestNotReadyOnAnIncompleteDirectory follows an instance whose disk was lost: it
-// knows the document before it knows the backend servers, and an entry instance
-// that took its word would refuse flows.
-func TestNotReadyOnAnIncompleteDirectory(t *testing.T) {
-	s := &standIn{updates: []*message.FollowUpdate{
-		{Document: document(5), Current: true}, {Current: true}, {State: true, Current: true, Complete: true},
+// TestNotReadyWithIncompleteDirectory follows a control instance that has lost its
+// disk: it has the document before it has the backend servers. An entry instance
+// that treated its directory as complete would refuse flows.
+func TestNotReadyWithIncompleteDirectory(t *testing.T) {
+	s := &fakeControl{updates: []*message.FollowUpdate{
+		{Document: newDocument(5), Current: true}, {Current: true}, {State: true, Current: true, Complete: true},
 	}}
-	c, r := newClient("a", serve(t, s))
+	c, r := newClient("a", serveControl(t, s))
 	x := &session{client: c, addr: "control-1"}
 	for i, u := range s.updates {
 		require.False(t, c.Ready(), i)
-		r.Do(func(e *token.Engine, now int64) { require.Greater(t, e.Age(now), time.Hour, "nothing may be refused") })
-		x.take(u)
+		r.Do(func(e *token.Engine, now int64) {
+			require.Greater(t, e.Age(now), time.Hour, "an incomplete update must not count as current")
+		})
+		x.apply(u)
 	}
 	require.True(t, c.Ready())
 	r.Do(func(e *token.Engine, now int64) { require.Less(t, e.Age(now), time.Hour) })
-	require.Equal(t, uint64(5), version(r))
+	require.Equal(t, uint64(5), documentVersion(r))
 }
 
-// TestLeavesAnInstanceThatIsNotCurrent has one that is out of touch with its
-// leader and one that has the document.
-func TestLeavesAnInstanceThatIsNotCurrent(t *testing.T) {
-	old := &standIn{updates: []*message.FollowUpdate{{State: true}, {State: true}}}
-	current := &standIn{updates: []*message.FollowUpdate{{Document: document(5), State: true, Current: true, Complete: true}}}
-	c, r := newClient("a", serve(t, old), serve(t, current))
-	follow(t, c, c.Ready)
-	require.Equal(t, uint64(5), version(r))
+// TestSwitchesFromStaleInstance runs one control instance that is out of contact with
+// its leader and one that has the current document.
+func TestSwitchesFromStaleInstance(t *testing.T) {
+	stale := &fakeControl{updates: []*message.FollowUpdate{{State: true}, {State: true}}}
+	current := &fakeControl{updates: []*message.FollowUpdate{{Document: newDocument(5), State: true, Current: true, Complete: true}}}
+	c, r := newClient("a", serveControl(t, stale), serveControl(t, current))
+	runUntil(t, c, c.Ready)
+	require.Equal(t, uint64(5), documentVersion(r))
 }
 
-func TestMovesToItsOwnZone(t *testing.T) {
-	own := &standIn{updates: []*message.FollowUpdate{{Document: document(6), State: true, Current: true, Complete: true}}}
-	ownAddr := serve(t, own)
-	other := &standIn{updates: []*message.FollowUpdate{{
-		Document: document(5), State: true, Current: true, Complete: true, Peers: []quorum.Peer{{Addr: ownAddr, Zone: "a"}},
+func TestSwitchesToOwnZone(t *testing.T) {
+	own := &fakeControl{updates: []*message.FollowUpdate{{Document: newDocument(6), State: true, Current: true, Complete: true}}}
+	ownAddr := serveControl(t, own)
+	other := &fakeControl{updates: []*message.FollowUpdate{{
+		Document: newDocument(5), State: true, Current: true, Complete: true, Peers: []quorum.Peer{{Addr: ownAddr, Zone: "a"}},
 	}}}
-	c, r := newClient("a", serve(t, other))
-	follow(t, c, func() bool { return version(r) == 6 })
-	require.Equal(t, 1, other.count())
+	c, r := newClient("a", serveControl(t, other))
+	runUntil(t, c, func() bool { return documentVersion(r) == 6 })
+	require.Equal(t, 1, other.callCount())
 }
 
-func TestSurvivesInstancesThatAreGone(t *testing.T) {
+func TestSkipsUnreachableSeeds(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	gone := l.Addr().String()
+	unreachable := l.Addr().String()
 	require.NoError(t, l.Close())
-	s := &standIn{updates: []*message.FollowUpdate{{Document: document(5), State: true, Current: true, Complete: true}}}
-	c, _ := newClient("a", gone, serve(t, s), gone)
-	follow(t, c, c.Ready)
+	s := &fakeControl{updates: []*message.FollowUpdate{{Document: newDocument(5), State: true, Current: true, Complete: true}}}
+	c, _ := newClient("a", unreachable, serveControl(t, s), unreachable)
+	runUntil(t, c, c.Ready)
 }
 
-// TestUpdateFitsAThinLink bounds the document of 400 routes, which must reach an
-// entry instance over 1.4 Mbit/s in well under the second after which it gives
-// up on a silent control instance: 350 ms at the most.
-func TestUpdateFitsAThinLink(t *testing.T) {
-	d := document(1)
+// TestUpdateFitsSlowLink limits the size of a document with 400 routes: over a link of
+// 1.4 Mbit/s it must arrive within 350 ms, well under the 1 s after which an entry
+// instance closes a silent stream.
+func TestUpdateFitsSlowLink(t *testing.T) {
+	d := newDocument(1)
 	for i := range 400 {
 		r := d.Routes[0]
 		r.Name = "r-" + netip.AddrFrom4([4]byte{1, 2, byte(i >> 8), byte(i)}).String()
--- a/entry/follow/session.go
+++ b/entry/follow/session.go
@@ -13,36 +13,36 @@
 	"catkinrail.example/catkinrail/transport/rpc"
 )
 
-// session is one stream.
+// session is one stream from a control instance.
 type session struct {
-	client *Client
-	addr   string
-	own    bool
-	// heard is set once anything came.
-	heard bool
-	// updates counts the updates that tell the sender's state.
-	updates int
-	// current is the time of the last update of an instance in touch with its
-	// leader.
-	current time.Time
-	// touched is set once the instance was in touch.
-	touched bool
-	// moved is set if the stream was ended for a better one.
-	moved bool
+	client  *Client
+	addr    string
+	ownZone bool
+	// received is set after the first update.
+	received bool
+	// stateUpdates counts the updates that carry the sender's state.
+	stateUpdates int
+	// lastContact is the time of the last update that the control instance sent while
+	// in contact with its leader; at first, the start of the stream.
+	lastContact time.Time
+	// hadContact is set after the first such update.
+	hadContact bool
+	// switched is set if the stream was closed to follow another control instance.
+	switched bool
 }
 
 func (s *session) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silent := time.AfterFunc(s.patience(), cancel)
-	defer silent.Stop()
-	s.current = s.client.clock.Now()
+	timer := time.AfterFunc(s.nextUpdateTimeout(), cancel)
+	defer timer.Stop()
+	s.lastContact = s.client.clock.Now()
 	cl := rpc.NewClient(s.addr, s.client.creds)
 	defer cl.Close()
 	return cl.Call(ctx, "follow", streamTimeout, func(ctx context.Context, conn drpc.Conn) error {
-		var have uint64
-		s.client.router.Do(func(e *token.Engine, _ int64) { have = e.Version() })
-		body, err := cluster.Encode(&message.FollowRequest{Name: s.client.name, Zone: s.client.zone, Document: have, Resume: s.client.resumeAt(s.addr)})
+		var version uint64
+		s.client.router.Do(func(e *token.Engine, _ int64) { version = e.Version() })
+		body, err := cluster.Encode(&message.FollowRequest{Name: s.client.name, Zone: s.client.zone, Document: version, Resume: s.client.resumePoint(s.addr)})
 		if err != nil {
 			return err
 		}
@@ -59,9 +59,9 @@
 			if err := cluster.DecodePacked(f.GetBody(), &u); err != nil {
 				return err
 			}
-			s.take(&u)
-			silent.Reset(s.patience())
-			if u.State && s.leave() {
+			s.apply(&u)
+			timer.Reset(s.nextUpdateTimeout())
+			if u.State && s.shouldSwitch() {
 				cancel()
 				return nil
 			}
@@ -69,49 +69,49 @@
 	})
 }
 
-// patience is how long the next update may take.
-func (s *session) patience() time.Duration {
+// nextUpdateTimeout returns the limit on the wait for the next update.
+func (s *session) nextUpdateTimeout() time.Duration {
 	switch {
 	case !s.client.Ready():
-		return silentAfter
-	case !s.heard:
-		return s.client.helloAfter()
-	case s.updates > 0 && !s.touched:
-		return s.client.staleFirst()
+		return updateTimeout
+	case !s.received:
+		return s.client.firstUpdateTimeout()
+	case s.stateUpdates > 0 && !s.hadContact:
+		return s.client.firstContactTimeout()
 	}
-	return silentAfter
+	return updateTimeout
 }
 
-// leave reports whether another control instance should be followed.
-func (s *session) leave() bool {
+// shouldSwitch reports whether to follow another control instance.
+func (s *session) shouldSwitch() bool {
 	now := s.client.clock.Now()
-	patience := staleAfter
-	if !s.client.Ready() || !s.touched {
-		patience = s.client.staleFirst()
+	timeout := contactTimeout
+	if !s.client.Ready() || !s.hadContact {
+		timeout = s.client.firstContactTimeout()
 	}
-	if now.Sub(s.current) > patience {
-		s.client.log.Info().Str("control", s.addr).Dur("age", now.Sub(s.current)).Msg("control instance is out of touch")
-		s.moved = true
+	if now.Sub(s.lastContact) > timeout {
+		s.client.log.Info().Str("control", s.addr).Dur("age", now.Sub(s.lastContact)).Msg("control instance is out of touch")
+		s.switched = true
 		return true
 	}
-	if s.client.better(s.addr) {
-		s.moved = true
+	if s.client.shouldReturn(s.addr) {
+		s.switched = true
 		return true
 	}
 	return false
 }
 
-// take hands an update to the engine.
-func (s *session) take(u *message.FollowUpdate) {
+// apply records an update and passes it to the engine.
+func (s *session) apply(u *message.FollowUpdate) {
 	c := s.client
-	s.heard = true
+	s.received = true
 	if u.State {
-		s.updates++
+		s.stateUpdates++
 	}
 	c.setPeers(u.Peers)
-	c.told(s.addr, u)
+	c.recordProgress(s.addr, u)
 	if u.Current {
-		s.current, s.touched = c.clock.Now(), true
+		s.lastContact, s.hadContact = c.clock.Now(), true
 	}
 	list := make([]token.Followed, len(u.Backends))
 	for i := range u.Backends {
@@ -138,7 +138,7 @@
 			Uint64("sequence", b.Sequence).Bool("draining", b.Draining).Bool("gone", b.Gone).Bool("silent", b.Silent()).
 			Str("control", s.addr).Msg("backend server changed")
 	}
-	if u.State && s.updates == 1 {
+	if u.State && s.stateUpdates == 1 {
 		c.log.Info().Str("control", s.addr).Bool("current", u.Current).Uint64("version", version).Msg("following control instance")
 	}
 	if version > 0 && u.Current && u.Complete && !c.synced.Swap(true) {
