--- a/entry/cmd/catkinrail-entry/daemon.go
+++ b/entry/cmd/catkinrail-entry/daemon.go
@@ -98,7 +98,7 @@
 		g.Go(func() error { return w.Run(ctx) })
 	}
 	g.Go(func() error {
-		return fabric.Tick(ctx, d.engine, d.clock, d.cfg.relayKey, d.cfg.relay.Addr())
+		return fabric.RunTicks(ctx, d.engine, d.clock, d.cfg.relayKey, d.cfg.relay.Addr())
 	})
 	return nil
 }
@@ -159,7 +159,7 @@
 			return
 		case <-poll.C:
 		}
-		quiet := time.Duration(d.clock.Nanos() - max(began, d.stats.Last()))
+		quiet := time.Duration(d.clock.Nanos() - max(began, d.stats.LastPacket()))
 		if d.engine.Released() && quiet > quietTime {
 			d.farewell(ctx)
 			return
--- a/entry/cmd/catkinrail-entry/token.go
+++ b/entry/cmd/catkinrail-entry/token.go
@@ -183,7 +183,7 @@
 		case <-poll.C:
 		}
 		now := d.clock.Nanos()
-		if now-began > int64(rotationTime) && now-d.worker.Last() > int64(tokenQuietTime) {
+		if now-began > int64(rotationTime) && now-d.worker.LastPacket() > int64(tokenQuietTime) {
 			return
 		}
 	}
--- a/entry/control/client.go
+++ b/entry/control/client.go
@@ -41,7 +41,7 @@
 	Registration plan.Registration
 	Peers        []string
 	Credentials  *rpc.Credentials
-	Clock        fabric.Nanos
+	Clock        fabric.NanoClock
 	Engine       *route.Engine
 	Registry     *backend.Registry
 	Stats        *fabric.Stats
--- a/entry/fabric/stats.go
+++ b/entry/fabric/stats.go
@@ -1,5 +1,6 @@
 // Package fabric receives packets from the fabric and from other entry
-// instances, and sends them on as the routing engine decides.
+// instances, and forwards, relays, refuses or drops them as the routing engine
+// decides.
 package fabric
 
 import (
@@ -14,18 +15,18 @@
 	"catkinrail.example/catkinrail/protocol/ip"
 )
 
-// Stats counts what the workers did.
+// Stats holds the counters that workers share.
 type Stats struct {
 	received, forwarded, relayed, refused metrics.Counter
-	lost, retried                         metrics.Counter
-	reasons                               []metrics.Counter
-	faults                                []metrics.Counter
+	sendFailed, decidedAgain              metrics.Counter
+	dropped                               []metrics.Counter
+	malformed                             []metrics.Counter
 	relayErrors                           metrics.Counter
-	// last is the time of the last packet, in nanoseconds of the clock.
-	last atomic.Int64
+	// lastPacket is the time of the last packet, in nanoseconds of the clock.
+	lastPacket atomic.Int64
 
-	mu     sync.Mutex
-	counts map[catkinrail.ServiceID]message.FlowCounts
+	mu         sync.Mutex
+	flowCounts map[catkinrail.ServiceID]message.FlowCounts
 }
 
 // NewStats returns counters that are registered with reg.
@@ -34,39 +35,39 @@
 	s := &Stats{
 		received: counter("packets-received"), forwarded: counter("packets-forwarded"),
 		relayed: counter("packets-relayed"), refused: counter("packets-refused"),
-		lost: counter("packets-send-failed"), retried: counter("batches-decided-again"),
+		sendFailed: counter("packets-send-failed"), decidedAgain: counter("batches-decided-again"),
 		relayErrors: counter("relay-messages-bad"),
-		counts:      map[catkinrail.ServiceID]message.FlowCounts{},
+		flowCounts:  map[catkinrail.ServiceID]message.FlowCounts{},
 	}
 	for _, r := range route.Reasons() {
-		s.reasons = append(s.reasons, counter("packets-dropped-"+r.String()))
+		s.dropped = append(s.dropped, counter("packets-dropped-"+r.String()))
 	}
 	for _, f := range ip.Faults() {
-		s.faults = append(s.faults, counter("packets-bad-"+f.String()))
+		s.malformed = append(s.malformed, counter("packets-bad-"+f.String()))
 	}
 	return s
 }
 
-// Last returns the time of the last packet, in nanoseconds of the clock.
-func (s *Stats) Last() int64 {
-	return s.last.Load()
+// LastPacket returns the time of the last packet, in nanoseconds of the clock.
+func (s *Stats) LastPacket() int64 {
+	return s.lastPacket.Load()
 }
 
-// TakeCounts returns what was counted for each service since the last call.
+// TakeCounts returns the counts of each service since the last call.
 func (s *Stats) TakeCounts() map[catkinrail.ServiceID]message.FlowCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	taken := s.counts
-	s.counts = map[catkinrail.ServiceID]message.FlowCounts{}
-	return taken
+	counts := s.flowCounts
+	s.flowCounts = map[catkinrail.ServiceID]message.FlowCounts{}
+	return counts
 }
 
-// Restore adds counts back that could not be delivered.
+// Restore adds counts that could not be reported back to the current ones.
 func (s *Stats) Restore(counts map[catkinrail.ServiceID]message.FlowCounts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, n := range counts {
-		c := s.counts[id]
+		c := s.flowCounts[id]
 		c.Opened += n.Opened
 		c.Refused += n.Refused
 		c.Unrecorded += n.Unrecorded
@@ -76,11 +77,11 @@
 			}
 			c.BySlot[slot] += k
 		}
-		s.counts[id] = c
+		s.flowCounts[id] = c
 	}
 }
 
-// count notes a verdict that matters to a service's report.
+// count adds a verdict to the counts of its service, if they include it.
 func (s *Stats) count(v *route.Verdict) {
 	opened := v.Action == route.Forward && v.Opening
 	broken := v.Action == route.Drop && v.Reason == route.ReasonNoRecord
@@ -90,7 +91,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.counts[v.Service]
+	c := s.flowCounts[v.Service]
 	switch {
 	case opened:
 		c.Opened++
@@ -103,19 +104,19 @@
 	case refused:
 		c.Refused++
 	}
-	s.counts[v.Service] = c
+	s.flowCounts[v.Service] = c
 }
 
-// tally collects the counts of one batch, so that the shared counters are
-// touched once a batch.
-type tally struct {
+// batchCounts collects the counts of one batch, so that the shared counters are
+// updated once per batch.
+type batchCounts struct {
 	received, forwarded, relayed, refused int64
 }
 
-func (t *tally) flush(s *Stats) {
+func (t *batchCounts) flush(s *Stats) {
 	s.received.Inc(t.received)
 	s.forwarded.Inc(t.forwarded)
 	s.relayed.Inc(t.relayed)
 	s.refused.Inc(t.refused)
-	*t = tally{}
+	*t = batchCounts{}
 }
--- a/entry/fabric/ticker.go
+++ b/entry/fabric/ticker.go
@@ -11,12 +11,12 @@
 	"catkinrail.example/catkinrail/transport/udp"
 )
 
-// tickInterval is the time between two calls of the engine's Tick.
+// tickInterval is the interval between calls of the engine's Tick.
 const tickInterval = 50 * time.Millisecond
 
-// Tick calls the engine's Tick at intervals and sends its messages from a
-// socket of its own, until ctx ends.
-func Tick(ctx context.Context, e *route.Engine, clock Nanos, key relay.Key, addr netip.Addr) error {
+// RunTicks calls the engine's Tick every tickInterval and sends the resulting
+// messages from its own socket, until ctx ends.
+func RunTicks(ctx context.Context, e *route.Engine, clock NanoClock, key relay.Key, addr netip.Addr) error {
 	conn, err := udp.Listen(ctx, netip.AddrPortFrom(addr, 0))
 	if err != nil {
 		return catkinrail.At(err, "open relay socket", "")
--- a/entry/fabric/worker.go
+++ b/entry/fabric/worker.go
@@ -14,49 +14,49 @@
 	"catkinrail.example/catkinrail/transport/udp"
 )
 
-// staleAfter is the age of a decision from which it isn't carried out any more.
-// A process that was stopped between deciding and sending decides again, by
-// what its lease says then.
-const staleAfter = 20 * time.Millisecond
+// maxDecisionAge is the age above which a decision is discarded. If the process was
+// paused between deciding and sending, the lease may have expired, so the worker
+// decides again.
+const maxDecisionAge = 20 * time.Millisecond
 
-// Nanos tells the time in nanoseconds.
-type Nanos interface {
+// NanoClock returns the time in nanoseconds.
+type NanoClock interface {
 	Nanos() int64
 }
 
-// Socket is what a worker needs of a udp.Conn.
+// Socket is the part of udp.Conn that a worker uses.
 type Socket interface {
 	Read() (int, error)
 	Datagram(i int) (b []byte, whole bool)
 	Source(i int) netip.AddrPort
 	Queue(to netip.AddrPort, b []byte)
 	Discard()
-	Flush() (lost int)
+	Flush() (failed int)
 	Close() error
 }
 
 // Worker serves one socket. Not safe for concurrent use.
 type Worker struct {
 	engine *route.Engine
-	clock  Nanos
+	clock  NanoClock
 	conn   Socket
 	key    relay.Key
 	stats  *Stats
-	// relaying is set for the socket that other entry instances send to.
-	relaying bool
+	// relaySocket is set if other entry instances send to the socket.
+	relaySocket bool
 
 	header  ip.Header
 	message relay.Message
-	// scratch holds the bytes of messages that are queued.
+	// scratch holds the buffers of queued messages; the first used ones are in use.
 	scratch [][]byte
 	used    int
-	tally   tally
+	counts  batchCounts
 }
 
-// New returns a worker for a socket of the fabric, or of the other entry
-// instances if relaying is set.
-func New(e *route.Engine, clock Nanos, conn Socket, key relay.Key, stats *Stats, relaying bool) *Worker {
-	w := &Worker{engine: e, clock: clock, conn: conn, key: key, stats: stats, relaying: relaying}
+// New returns a worker for a socket that receives from the fabric, or from other
+// entry instances if relaySocket is set.
+func New(e *route.Engine, clock NanoClock, conn Socket, key relay.Key, stats *Stats, relaySocket bool) *Worker {
+	w := &Worker{engine: e, clock: clock, conn: conn, key: key, stats: stats, relaySocket: relaySocket}
 	for range udp.BatchSize {
 		w.scratch = append(w.scratch, make([]byte, 0, udp.MaxDatagram+relay.Overhead))
 	}
@@ -81,59 +81,59 @@
 	}
 }
 
-// Batch decides about the n datagrams that were read last, and sends what
-// follows. If the process was held up meanwhile, it decides again.
+// Batch decides about the n datagrams of the last read and sends the results. If the
+// process was paused in between, it decides again before it sends.
 func (w *Worker) Batch(n int) {
 	now := w.clock.Nanos()
 	w.decide(n, now)
-	if late := w.clock.Nanos(); late-now > int64(staleAfter) {
-		w.stats.retried.Inc(1)
+	if late := w.clock.Nanos(); late-now > int64(maxDecisionAge) {
+		w.stats.decidedAgain.Inc(1)
 		w.conn.Discard()
 		w.decide(n, late)
 	}
-	if lost := w.conn.Flush(); lost > 0 {
-		w.stats.lost.Inc(int64(lost))
+	if failed := w.conn.Flush(); failed > 0 {
+		w.stats.sendFailed.Inc(int64(failed))
 	}
-	w.stats.last.Store(now)
-	w.tally.flush(w.stats)
+	w.stats.lastPacket.Store(now)
+	w.counts.flush(w.stats)
 }
 
 func (w *Worker) decide(n int, now int64) {
 	w.used = 0
-	w.tally = tally{received: int64(n)}
+	w.counts = batchCounts{received: int64(n)}
 	for i := range n {
 		b, whole := w.conn.Datagram(i)
 		switch {
 		case !whole:
-			w.stats.faults[ip.FaultOversized].Inc(1)
-		case w.relaying:
-			w.relayed(b, w.conn.Source(i), now)
+			w.stats.malformed[ip.FaultOversized].Inc(1)
+		case w.relaySocket:
+			w.handleRelay(b, w.conn.Source(i), now)
 		default:
-			w.packet(b, w.conn.Source(i), now)
+			w.handlePacket(b, w.conn.Source(i), now)
 		}
 	}
 }
 
-// packet decides about a packet from the fabric.
-func (w *Worker) packet(b []byte, from netip.AddrPort, now int64) {
+// handlePacket handles a packet from the fabric.
+func (w *Worker) handlePacket(b []byte, from netip.AddrPort, now int64) {
 	if !w.parse(b) {
 		return
 	}
 	v := w.engine.Packet(&w.header, now)
-	w.carryOut(&v, b, from)
+	w.execute(&v, b, from)
 }
 
 func (w *Worker) parse(b []byte) bool {
 	fault := ip.Parse(b, &w.header)
 	if fault != ip.FaultNone {
-		w.stats.faults[fault].Inc(1)
+		w.stats.malformed[fault].Inc(1)
 		return false
 	}
 	return true
 }
 
-// relayed handles a message of another entry instance.
-func (w *Worker) relayed(b []byte, from netip.AddrPort, now int64) {
+// handleRelay handles a message from another entry instance.
+func (w *Worker) handleRelay(b []byte, from netip.AddrPort, now int64) {
 	payload, err := w.key.Parse(b, &w.message)
 	if err != nil {
 		w.stats.relayErrors.Inc(1)
@@ -144,7 +144,7 @@
 			return
 		}
 		v := w.engine.Relayed(&w.message, &w.header, now)
-		w.carryOut(&v, payload, from)
+		w.execute(&v, payload, from)
 		return
 	}
 	answers, err := w.engine.Receive(&w.message, payload, now)
@@ -156,24 +156,24 @@
 	}
 }
 
-func (w *Worker) carryOut(v *route.Verdict, b []byte, from netip.AddrPort) {
+func (w *Worker) execute(v *route.Verdict, b []byte, from netip.AddrPort) {
 	w.stats.count(v)
 	switch v.Action {
 	case route.Forward:
-		w.tally.forwarded++
+		w.counts.forwarded++
 		w.conn.Queue(v.Addr, b)
 	case route.Relay:
-		w.tally.relayed++
+		w.counts.relayed++
 		w.send(v.Addr, &v.Message, b)
 	case route.Refuse:
-		w.tally.refused++
+		w.counts.refused++
 		w.refuse(b, from)
 	case route.Drop:
-		w.stats.reasons[v.Reason].Inc(1)
+		w.stats.dropped[v.Reason].Inc(1)
 	}
 }
 
-// buffer returns an empty buffer that stays untouched until the next flush.
+// buffer returns an empty buffer that isn't reused before the next flush.
 func (w *Worker) buffer() *[]byte {
 	if w.used == len(w.scratch) {
 		w.conn.Flush()
@@ -191,7 +191,7 @@
 	w.conn.Queue(to, *buf)
 }
 
-// refuse sends a reset back the way that the packet came.
+// refuse sends a reset to the sender of the packet.
 func (w *Worker) refuse(b []byte, from netip.AddrPort) {
 	buf := w.buffer()
 	*buf = ip.AppendRefusal(*buf, b, &w.header)
--- a/entry/fabric/worker_test.go
+++ b/entry/fabric/worker_test.go
@@ -21,7 +21,7 @@
 	caller      = netip.MustParseAddrPort("127.0.0.1:9000")
 )
 
-// socket is a fake socket: it serves one batch and keeps what is sent.
+// socket is a fake socket that returns one batch and records destinations.
 type socket struct {
 	in     [][]byte
 	queued []netip.AddrPort
@@ -42,7 +42,7 @@
 	return 0
 }
 
-// clock returns the given times one after the other, and then the last one.
+// clock returns the given times in order, and then the last one repeatedly.
 type clock struct {
 	times []int64
 }
@@ -94,10 +94,10 @@
 		{"forwarded", packet("192.0.2.1"), true, []int64{second}, "packets-forwarded", []netip.AddrPort{backendAddr}},
 		{"no service", packet("192.0.2.9"), true, []int64{second}, "packets-dropped-no-service", nil},
 		{"malformed", []byte{1, 2, 3}, true, []int64{second}, "packets-bad-truncated", nil},
-		{"longer than the buffer", packet("192.0.2.1"), false, []int64{second}, "packets-bad-oversized", nil},
+		{"oversized", packet("192.0.2.1"), false, []int64{second}, "packets-bad-oversized", nil},
 		{"no lease", packet("192.0.2.1"), true, []int64{11 * second}, "packets-dropped-no-lease", nil},
 		{
-			"process stopped between deciding and sending", packet("192.0.2.1"), true,
+			"process paused between deciding and sending", packet("192.0.2.1"), true,
 			[]int64{second, 11 * second},
 			"packets-dropped-no-lease", nil,
 		},
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestForeignRelayMessage(t *testing.T) {
+func TestInvalidRelayMessage(t *testing.T) {
 	s := &socket{in: [][]byte{packet("192.0.2.1")}, whole: true}
 	reg := metrics.NewRegistry()
 	w := fabric.New(newEngine(t, 10), &clock{times: []int64{1}}, s, relay.Key{}, fabric.NewStats(reg), true)
@@ -124,23 +124,23 @@
 	require.Equal(t, int64(1), metrics.GetOrRegisterCounter("relay-messages-bad", reg).Count())
 }
 
-// FuzzBatch feeds arbitrary datagrams to both kinds of sockets. Nothing but
-// packets of the service may go to its backend server.
+// FuzzBatch passes arbitrary datagrams to workers of both kinds of sockets. Whatever
+// they send must result from a packet to the service's address.
 func FuzzBatch(f *testing.F) {
 	f.Add(packet("192.0.2.1"), false)
 	f.Add(packet("192.0.2.9"), false)
 	f.Add(relay.Key{}.Append(nil, &relay.Message{Kind: relay.Lookup}, packet("192.0.2.1")), true)
 	f.Add(relay.Key{}.Append(nil, &relay.Message{Kind: relay.Store, Length: 1}, packet("192.0.2.1")), true)
 	f.Add(relay.Key{}.Append(nil, &relay.Message{Kind: relay.Copy}, make([]byte, 54)), true)
-	f.Fuzz(func(t *testing.T, b []byte, relaying bool) {
+	f.Fuzz(func(t *testing.T, b []byte, relaySocket bool) {
 		s := &socket{in: [][]byte{b}, whole: true}
-		w := fabric.New(newEngine(t, 10), &clock{times: []int64{1}}, s, relay.Key{}, fabric.NewStats(metrics.NewRegistry()), relaying)
+		w := fabric.New(newEngine(t, 10), &clock{times: []int64{1}}, s, relay.Key{}, fabric.NewStats(metrics.NewRegistry()), relaySocket)
 		w.Batch(1)
 		if len(s.sent) == 0 {
 			return
 		}
 		payload := b
-		if relaying {
+		if relaySocket {
 			var m relay.Message
 			var err error
 			payload, err = relay.Key{}.Parse(b, &m)
--- a/entry/packet/worker.go
+++ b/entry/packet/worker.go
@@ -1,5 +1,5 @@
-// Package packet receives callers' packets that carry a routing token and sends
-// them on as the token engine decides.
+// Package packet receives callers' packets that carry a routing token, and forwards
+// or refuses them as the token engine decides.
 package packet
 
 import (
@@ -21,26 +21,26 @@
 	"catkinrail.example/catkinrail/transport/udp"
 )
 
-// arenaSize holds the packets of one batch, in bytes.
+// arenaSize is the size in bytes of the buffer for the packets that a batch sends.
 const arenaSize = udp.BatchSize * 2048
 
-// logLines is the number of lines a second about flows: above the new flows of
-// an entry instance at today's sizes.
-const logLines = 100
+// logLinesPerSecond limits the log lines about flows. It is above the rate of new
+// flows that an entry instance receives today.
+const logLinesPerSecond = 100
 
-// Router is the engine with the lock that its users share.
+// Router guards a token engine with a lock, so that workers and clients can share it.
 type Router struct {
 	mu     sync.Mutex
 	engine *token.Engine
-	clock  fabric.Nanos
+	clock  fabric.NanoClock
 }
 
-// NewRouter returns a router.
-func NewRouter(e *token.Engine, clock fabric.Nanos) *Router {
+// NewRouter returns a router for the engine.
+func NewRouter(e *token.Engine, clock fabric.NanoClock) *Router {
 	return &Router{engine: e, clock: clock}
 }
 
-// Do calls f with the engine and the time, and nobody else meanwhile.
+// Do calls f with the engine and the time in nanoseconds, with the lock held.
 func (r *Router) Do(f func(e *token.Engine, now int64)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,34 +55,34 @@
 	log    *logs.Logger
 	budget *logs.Budget
 
-	reasons  []metrics.Counter
-	bad      metrics.Counter
-	unsent   metrics.Counter
-	gauge    overload.Gauge
-	last     atomic.Int64
-	arena    []byte
-	verdicts []verdict
+	reasons    []metrics.Counter
+	malformed  metrics.Counter
+	sendFailed metrics.Counter
+	gauge      overload.Gauge
+	lastPacket atomic.Int64
+	arena      []byte
+	events     []flowEvent
 }
 
-// verdict is a decision that a line is written about.
-type verdict struct {
+// flowEvent is a decision to be logged.
+type flowEvent struct {
 	flow catkinrail.FlowKey
 	copy uint32
 	token.Verdict
 	backend string
 	version uint64
-	age     int64
+	ageMS   int64
 }
 
-// New returns a worker for the socket.
+// New returns a worker for the socket. It registers its metrics with reg.
 func New(r *Router, conn fabric.Socket, codec catkinrail.TokenCodec, clock catkinrail.Clock, log *logs.Logger, reg metrics.Registry) *Worker {
 	w := &Worker{
-		router: r, conn: conn, codec: codec, log: log, budget: logs.NewBudget(clock, logLines),
-		bad: metrics.GetOrRegisterCounter("packets-bad", reg), unsent: metrics.GetOrRegisterCounter("packets-send-failed", reg),
+		router: r, conn: conn, codec: codec, log: log, budget: logs.NewBudget(clock, logLinesPerSecond),
+		malformed: metrics.GetOrRegisterCounter("packets-bad", reg), sendFailed: metrics.GetOrRegisterCounter("packets-send-failed", reg),
 		arena: make([]byte, 0, arenaSize),
 	}
 	r.Do(func(e *token.Engine, _ int64) {
-		e.Observe(&times{
+		e.Observe(&observer{
 			handshake: metricspage.Histogram("handshake", reg), answer: metricspage.Histogram("answer", reg),
 		})
 	})
@@ -92,20 +92,20 @@
 	return w
 }
 
-// times are the histograms of what the engine learns.
-type times struct {
+// observer records the engine's observations in histograms.
+type observer struct {
 	handshake, answer metrics.Histogram
 }
 
 // Handshake implements token.Observer.
-func (t *times) Handshake(took time.Duration) { t.handshake.Update(int64(took)) }
+func (t *observer) Handshake(took time.Duration) { t.handshake.Update(int64(took)) }
 
 // Answer implements token.Observer.
-func (t *times) Answer(took time.Duration) { t.answer.Update(int64(took)) }
+func (t *observer) Answer(took time.Duration) { t.answer.Update(int64(took)) }
 
-// Last returns the time of the last packet, in nanoseconds of the clock.
-func (w *Worker) Last() int64 {
-	return w.last.Load()
+// LastPacket returns the time of the last packet, in nanoseconds of the clock.
+func (w *Worker) LastPacket() int64 {
+	return w.lastPacket.Load()
 }
 
 // Run serves the socket until ctx ends.
@@ -127,9 +127,9 @@
 // Batch handles the datagrams of the socket's last read.
 func (w *Worker) Batch(n int) {
 	w.arena = w.arena[:0]
-	w.verdicts = w.verdicts[:0]
+	w.events = w.events[:0]
 	w.router.Do(func(e *token.Engine, now int64) {
-		w.last.Store(now)
+		w.lastPacket.Store(now)
 		overloaded := w.gauge.Read(n == udp.BatchSize, now)
 		if e.SetOverloaded(overloaded) {
 			w.log.Info().Bool("overloaded", overloaded).Int("flows", e.Flows()).Msg("overload changed")
@@ -138,11 +138,11 @@
 			w.handle(e, i, now)
 		}
 	})
-	if lost := w.conn.Flush(); lost > 0 {
-		w.unsent.Inc(int64(lost))
+	if failed := w.conn.Flush(); failed > 0 {
+		w.sendFailed.Inc(int64(failed))
 	}
-	for i := range w.verdicts {
-		w.write(&w.verdicts[i])
+	for i := range w.events {
+		w.logEvent(&w.events[i])
 	}
 }
 
@@ -150,46 +150,46 @@
 	b, whole := w.conn.Datagram(i)
 	var p catkinrail.TokenPacket
 	if err := w.codec.Parse(b, &p); err != nil || !whole {
-		w.bad.Inc(1)
+		w.malformed.Inc(1)
 		return
 	}
 	v := e.Decide(&p, now)
 	w.reasons[v.Reason].Inc(1)
 	if v.Reason != token.ReasonToken {
-		w.note(e, &p, &v, now)
+		w.recordEvent(e, &p, &v, now)
 	}
 	if len(w.arena)+len(b)+64 > cap(w.arena) {
 		w.conn.Flush()
 		w.arena = w.arena[:0]
 	}
-	from := len(w.arena)
+	start := len(w.arena)
 	switch v.Action {
 	case token.Forward:
 		w.arena = w.codec.Forward(w.arena, b, v.Backend.Identity, v.Backend.Token())
-		w.conn.Queue(v.Backend.Addr, w.arena[from:])
+		w.conn.Queue(v.Backend.Addr, w.arena[start:])
 	case token.Refuse:
 		w.arena = w.codec.Reset(w.arena, &p)
-		w.conn.Queue(w.codec.Caller(&p), w.arena[from:])
+		w.conn.Queue(w.codec.Caller(&p), w.arena[start:])
 	}
 }
 
-// note keeps a decision until the packets are out.
-func (w *Worker) note(e *token.Engine, p *catkinrail.TokenPacket, v *token.Verdict, now int64) {
-	n := verdict{flow: p.Flow, copy: p.Copy, Verdict: *v, version: e.Version(), age: int64(e.Age(now)) / 1e6}
+// recordEvent keeps a decision to be logged after the batch's packets are sent.
+func (w *Worker) recordEvent(e *token.Engine, p *catkinrail.TokenPacket, v *token.Verdict, now int64) {
+	event := flowEvent{flow: p.Flow, copy: p.Copy, Verdict: *v, version: e.Version(), ageMS: int64(e.Age(now)) / 1e6}
 	if v.Backend != nil {
-		n.backend = v.Backend.Name
+		event.backend = v.Backend.Name
 	}
-	w.verdicts = append(w.verdicts, n)
+	w.events = append(w.events, event)
 }
 
-// write logs a decision.
-func (w *Worker) write(v *verdict) {
+// logEvent logs a decision, unless the limit on log lines is reached.
+func (w *Worker) logEvent(v *flowEvent) {
 	skipped, ok := w.budget.Allow()
 	if !ok {
 		return
 	}
 	line := w.log.Info().Str("flow", v.flow.String()).Stringer("action", v.Action).Stringer("reason", v.Reason).
-		Uint64("document", v.version).Int64("age-ms", v.age)
+		Uint64("document", v.version).Int64("age-ms", v.ageMS)
 	if v.backend != "" {
 		line = line.Str("backend", v.backend)
 	}
--- a/entry/packet/worker_test.go
+++ b/entry/packet/worker_test.go
@@ -17,20 +17,20 @@
 	"catkinrail.example/catkinrail/platform"
 )
 
-// manual is a clock that tests set.
-type manual struct{ now time.Time }
+// manualClock is a clock whose time the tests set.
+type manualClock struct{ now time.Time }
 
-func (m *manual) Now() time.Time { return m.now }
+func (m *manualClock) Now() time.Time { return m.now }
 
-func (m *manual) Nanos() int64 { return m.now.UnixNano() }
+func (m *manualClock) Nanos() int64 { return m.now.UnixNano() }
 
-// sent is a datagram that was sent.
+// sent is a sent datagram.
 type sent struct {
 	to netip.AddrPort
 	b  []byte
 }
 
-// fakeSocket hands out prepared datagrams and keeps what is sent.
+// fakeSocket returns prepared datagrams and records sent ones.
 type fakeSocket struct {
 	in     [][]byte
 	queue  []sent
@@ -53,7 +53,7 @@
 	return s.failed
 }
 
-// opening returns an opening packet from a port.
+// opening returns a caller's opening packet from the port to the address.
 func opening(port uint16, to netip.AddrPort) []byte {
 	b := make([]byte, 31)
 	b[4] = 8
@@ -67,7 +67,7 @@
 
 func newWorker(t *testing.T, lines *bytes.Buffer) (*Worker, *fakeSocket, metrics.Registry) {
 	t.Helper()
-	clk := &manual{now: time.Unix(1000, 0)}
+	clk := &manualClock{now: time.Unix(1000, 0)}
 	e := token.New("a", 1)
 	e.SetDocument(&catkinrail.Document{Version: 7, Services: []string{"logbook"}, Routes: []catkinrail.Route{{
 		Name: "r", Listen: netip.MustParseAddrPort("198.18.0.1:443"), Targets: []catkinrail.Target{{Service: "logbook", Weight: 1}},
@@ -92,9 +92,9 @@
 		reason string
 		line   string
 	}{
-		{"a new flow goes to a backend server", opening(40001, route), netip.MustParseAddrPort("10.0.0.9:80"), 8 + 31, "packets-placed", `"reason":"placed"`},
-		{"an unknown endpoint is refused", opening(40001, netip.MustParseAddrPort("198.18.0.9:443")), netip.MustParseAddrPort("100.64.0.7:8172"), 31, "packets-no-route", `"reason":"no-route"`},
-		{"what is no packet is dropped", []byte("short"), netip.AddrPort{}, 0, "packets-bad", ""},
+		{"new flow", opening(40001, route), netip.MustParseAddrPort("10.0.0.9:80"), 8 + 31, "packets-placed", `"reason":"placed"`},
+		{"unknown endpoint", opening(40001, netip.MustParseAddrPort("198.18.0.9:443")), netip.MustParseAddrPort("100.64.0.7:8172"), 31, "packets-no-route", `"reason":"no-route"`},
+		{"malformed packet", []byte("short"), netip.AddrPort{}, 0, "packets-bad", ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -118,20 +118,20 @@
 	}
 }
 
-// TestLogVolumeIsBounded sends many flows within a second.
-func TestLogVolumeIsBounded(t *testing.T) {
+// TestLogVolumeIsLimited opens ten times more flows within a second than may be logged.
+func TestLogVolumeIsLimited(t *testing.T) {
 	var lines bytes.Buffer
 	w, s, _ := newWorker(t, &lines)
-	for i := range 10 * logLines {
+	for i := range 10 * logLinesPerSecond {
 		s.in = append(s.in, opening(uint16(i), netip.MustParseAddrPort("198.18.0.1:443")))
 	}
 	w.Batch(len(s.in))
 	require.Len(t, s.out, len(s.in))
-	require.Equal(t, logLines, strings.Count(lines.String(), "\n"))
-	w.router.clock.(*manual).now = time.Unix(1001, 0)
+	require.Equal(t, logLinesPerSecond, strings.Count(lines.String(), "\n"))
+	w.router.clock.(*manualClock).now = time.Unix(1001, 0)
 	s.in = s.in[:1]
 	w.Batch(1)
-	require.Contains(t, lines.String(), fmt.Sprintf(`"skipped":%d`, 9*logLines))
+	require.Contains(t, lines.String(), fmt.Sprintf(`"skipped":%d`, 9*logLinesPerSecond))
 }
 
 func TestFailedSendsAreCounted(t *testing.T) {
