--- a/entry/backend/announce_test.go
+++ b/entry/backend/announce_test.go
@@ -12,14 +12,14 @@
 	"catkinrail.example/catkinrail/entry/backend"
 )
 
-type manual struct {
+type manualClock struct {
 	now time.Time
 }
 
-func (m *manual) Now() time.Time { return m.now }
+func (m *manualClock) Now() time.Time { return m.now }
 
-func newRegistry() (*backend.Registry, *manual) {
-	clock := &manual{now: time.Unix(1000, 0)}
+func newRegistry() (*backend.Registry, *manualClock) {
+	clock := &manualClock{now: time.Unix(1000, 0)}
 	return backend.New(clock, "kochi", func(name string) bool { return name == "logbook" }), clock
 }
 
@@ -37,7 +37,7 @@
 		status     int
 		text       string
 	}{
-		{"right", good, http.StatusOK, `"ttl-seconds":10`},
+		{"valid", good, http.StatusOK, `"ttl-seconds":10`},
 		{"not JSON", "{", http.StatusBadRequest, "EOF"},
 		{"unknown key", `{"servce":"logbook"}`, http.StatusBadRequest, "servce"},
 		{"unknown service", strings.Replace(good, "logbook", "logbok", 1), http.StatusNotFound, "logbok"},
@@ -70,12 +70,12 @@
 	post(r, good)
 	due := r.Due()
 	require.Len(t, due, 1)
-	require.Len(t, r.Due(), 1, "it stays due until it was delivered")
-	r.Delivered(due)
+	require.Len(t, r.Due(), 1, "it stays due until it is delivered")
+	r.MarkDelivered(due)
 	require.Empty(t, r.Due())
 	clock.now = clock.now.Add(time.Second)
 	post(r, strings.Replace(good, "}", `,"draining":true}`, 1))
 	require.Len(t, r.Due(), 1, "a change is due at once")
 	clock.now = clock.now.Add(11 * time.Second)
-	require.Empty(t, r.Due(), "an announcement ends with its time")
+	require.Empty(t, r.Due(), "an announcement expires after its TTL")
 }
--- a/entry/control/client.go
+++ b/entry/control/client.go
@@ -1,5 +1,5 @@
-// Package control speaks to the control instances: it registers the entry
-// instance, fetches the configuration, renews the lease and reports.
+// Package control is the entry instance's client of the control leader. It registers
+// the instance, receives the configuration, renews the lease and sends reports.
 package control
 
 import (
@@ -26,17 +26,18 @@
 
 // Timing of calls.
 const (
-	// callTimeout bounds a heartbeat, the time that its answer may wait included.
+	// callTimeout limits a call, including the time for which control may hold back
+	// a heartbeat's reply until there is a change.
 	callTimeout = 750 * time.Millisecond
-	// minBackoff and maxBackoff bound the time between attempts that failed.
+	// minBackoff and maxBackoff limit the delay after a failed call.
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = 500 * time.Millisecond
-	// snapshotTimeout bounds a call that may carry the whole state.
+	// snapshotTimeout limits a heartbeat whose reply may carry the whole state.
 	snapshotTimeout = 5 * time.Second
 	logInterval     = 10 * time.Second
 )
 
-// Config is what a client is made of.
+// Config holds the settings and dependencies of a client.
 type Config struct {
 	Registration plan.Registration
 	Peers        []string
@@ -49,17 +50,17 @@
 	Limiter      *logs.Limiter
 }
 
-// Client keeps the entry instance in touch with the control leader.
+// Client exchanges heartbeats with the control leader.
 type Client struct {
 	cfg     Config
 	clients []*rpc.Client
-	// at is the index of the control instance that is spoken to.
-	at      int
+	// current is the index of the control instance in use.
+	current int
 	term    uint64
 	backoff time.Duration
 	leaving atomic.Bool
 	left    atomic.Bool
-	// registered is cleared when control no longer knows the instance.
+	// registered is cleared when control replies that the instance isn't registered.
 	registered bool
 	ready      atomic.Bool
 }
@@ -70,7 +71,7 @@
 	for _, addr := range cfg.Peers {
 		c.clients = append(c.clients, rpc.NewClient(addr, cfg.Credentials))
 	}
-	c.at = rand.IntN(len(c.clients))
+	c.current = rand.IntN(len(c.clients))
 	return c
 }
 
@@ -79,7 +80,7 @@
 	c.leaving.Store(true)
 }
 
-// Left makes the client report that the instance forwards nothing any more.
+// Left makes the client report that the instance no longer forwards packets.
 func (c *Client) Left() {
 	c.left.Store(true)
 }
@@ -99,11 +100,12 @@
 	return total
 }
 
-// Run keeps in touch until ctx ends.
+// Run registers the instance and sends heartbeats until ctx ends, or until control has
+// removed an instance that is leaving.
 func (c *Client) Run(ctx context.Context) error {
-	for ctx.Err() == nil && !c.ended() {
-		if err := c.once(ctx); err != nil && ctx.Err() == nil {
-			c.failed(ctx, err)
+	for ctx.Err() == nil && !c.released() {
+		if err := c.exchange(ctx); err != nil && ctx.Err() == nil {
+			c.tryNextPeer(ctx, err)
 			continue
 		}
 		c.backoff = minBackoff
@@ -111,26 +113,26 @@
 	return nil
 }
 
-// ended reports whether control has let a leaving instance go.
-func (c *Client) ended() bool {
+// released reports whether control has removed this instance, which is leaving.
+func (c *Client) released() bool {
 	return c.leaving.Load() && !c.registered && c.term > 0
 }
 
-// once registers the instance or sends a heartbeat.
-func (c *Client) once(ctx context.Context) error {
+// exchange registers the instance if necessary, or else sends a heartbeat.
+func (c *Client) exchange(ctx context.Context) error {
 	if !c.registered {
 		return c.register(ctx)
 	}
 	return c.heartbeat(ctx)
 }
 
-// failed turns to the next control instance, after a while that grows and has
-// jitter, so that instances that lost their leader at once don't return at once.
-func (c *Client) failed(ctx context.Context, err error) {
+// tryNextPeer switches to the next control instance after an exponential backoff. Its
+// jitter spreads the calls of instances that lost their leader at the same time.
+func (c *Client) tryNextPeer(ctx context.Context, err error) {
 	if skipped, ok := c.cfg.Limiter.Allow(); ok && drpcerr.Code(err) != uint64(api.Code_NOT_LEADER) {
-		c.cfg.Log.Warn(err).Uint64("skipped", skipped).Msg("control instance gave no answer")
+		c.cfg.Log.Warn(err).Uint64("skipped", skipped).Msg("call to control instance failed")
 	}
-	c.at = (c.at + 1) % len(c.clients)
+	c.current = (c.current + 1) % len(c.clients)
 	wait := c.backoff/2 + rand.N(c.backoff)
 	c.backoff = min(2*c.backoff, maxBackoff)
 	t := time.NewTimer(wait)
@@ -156,14 +158,14 @@
 	return nil
 }
 
-type method func(context.Context, control.DRPCControlClient, *control.Frame) (*control.Frame, error)
+type rpcMethod func(context.Context, control.DRPCControlClient, *control.Frame) (*control.Frame, error)
 
-func (c *Client) call(ctx context.Context, step string, timeout time.Duration, in, out any, m method) error {
+func (c *Client) call(ctx context.Context, step string, timeout time.Duration, in, out any, m rpcMethod) error {
 	body, err := cluster.Encode(in)
 	if err != nil {
 		return err
 	}
-	return c.clients[c.at].Call(ctx, step, timeout, func(ctx context.Context, conn drpc.Conn) error {
+	return c.clients[c.current].Call(ctx, step, timeout, func(ctx context.Context, conn drpc.Conn) error {
 		f, err := m(ctx, control.NewDRPCControlClient(conn), &control.Frame{Body: body})
 		if err != nil {
 			return err
@@ -193,13 +195,14 @@
 		c.cfg.Stats.Restore(hb.Counts)
 		return err
 	}
-	c.cfg.Registry.Delivered(hb.Announcements)
-	return c.take(&r, sent)
+	c.cfg.Registry.MarkDelivered(hb.Announcements)
+	return c.apply(&r, sent)
 }
 
-// take brings the answer into force. An answer of an earlier term than one that
-// was seen comes from a leader that was replaced, and is ignored.
-func (c *Client) take(r *message.HeartbeatReply, sent int64) error {
+// apply applies the reply to a heartbeat that was sent at the given time, from which
+// the lease counts. A reply from an earlier term comes from a replaced leader and is
+// ignored.
+func (c *Client) apply(r *message.HeartbeatReply, sent int64) error {
 	e := c.cfg.Engine
 	if r.Term < c.term {
 		return nil
@@ -215,7 +218,7 @@
 		e.Replace(r.State, now)
 	}
 	if err := e.Update(r.Changes, now); err != nil {
-		return catkinrail.At(err, "apply changes", c.clients[c.at].Addr())
+		return catkinrail.At(err, "apply changes", c.clients[c.current].Addr())
 	}
 	e.SetLease(sent + int64(r.Lease))
 	if e.Version() > 0 {
