--- a/entry/cmd/catkinrail-entry/daemon.go
+++ b/entry/cmd/catkinrail-entry/daemon.go
@@ -24,15 +24,15 @@
 
 // Timing of a graceful shutdown.
 const (
-	drainPoll = 100 * time.Millisecond
-	// quietTime is how long no packet must have come before the instance ends.
-	quietTime = 2 * time.Second
-	// farewellTime bounds the last report to control.
-	farewellTime = time.Second
-	logInterval  = 10 * time.Second
+	drainPollInterval = 100 * time.Millisecond
+	// drainIdleTime is the time without a packet after which a drained instance exits.
+	drainIdleTime = 2 * time.Second
+	// leaveReportTime is the time for the last report to reach control.
+	leaveReportTime = time.Second
+	logInterval     = 10 * time.Second
 )
 
-// daemon ties an entry instance's parts together.
+// daemon is an entry instance that routes by bucket.
 type daemon struct {
 	cfg    *Settings
 	log    *logs.Logger
@@ -42,14 +42,14 @@
 	client *control.Client
 }
 
-// runDaemon runs the instance until a signal has ended it.
+// runDaemon runs the instance until a signal has stopped it.
 func runDaemon(ctx context.Context, cfg *Settings, log *logs.Logger, signals <-chan os.Signal) error {
 	creds, err := rpc.NewCredentials(cfg.TLS)
 	if err != nil {
 		return err
 	}
 	if creds == nil {
-		log.Info().Msg("TLS is off: for trials on loopback only")
+		log.Info().Msg("TLS is off: use only for tests on loopback")
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -119,12 +119,12 @@
 	ready := func() error {
 		records.Update(int64(d.engine.Records()))
 		version.Update(int64(d.engine.Version()))
-		has := d.engine.Leased(d.clock.Nanos())
+		leaseHeld := d.engine.Leased(d.clock.Nanos())
 		leased.Update(0)
-		if has {
+		if leaseHeld {
 			leased.Update(1)
 		}
-		if d.client.Ready() && (has || d.engine.Cut()) {
+		if d.client.Ready() && (leaseHeld || d.engine.Cut()) {
 			return nil
 		}
 		return errNotReady
@@ -132,43 +132,43 @@
 	return metricspage.Serve(ctx, d.cfg.Metrics, "catkinrail_entry", reg, ready)
 }
 
-// awaitShutdown waits for a signal, leaves the view, goes on forwarding what
-// still comes, and returns when nothing does, at the deadline, or at a second
-// signal.
+// awaitShutdown waits for a signal, leaves the view and keeps forwarding packets. It
+// returns when the view has released the instance and no packets arrive any more, at
+// the deadline, or at a second signal.
 func (d *daemon) awaitShutdown(ctx context.Context, signals <-chan os.Signal) {
-	if !awaitEnd(ctx, signals) {
+	if !awaitStopSignal(ctx, signals) {
 		return
 	}
 	d.log.Info().Msg("leaving")
 	d.client.Leave()
 	deadline := time.NewTimer(d.cfg.DrainDeadline)
 	defer deadline.Stop()
-	poll := time.NewTicker(drainPoll)
+	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
 	began := d.clock.Nanos()
 	for {
 		select {
 		case <-signals:
-			d.log.Info().Msg("ended by a second signal")
+			d.log.Info().Msg("stopped by a second signal")
 			return
 		case <-deadline.C:
-			d.log.Info().Msg("ended at the deadline")
-			d.farewell(ctx)
+			d.log.Info().Msg("stopped at the drain deadline")
+			d.reportLeft(ctx)
 			return
 		case <-ctx.Done():
 			return
 		case <-poll.C:
 		}
-		quiet := time.Duration(d.clock.Nanos() - max(began, d.stats.LastPacket()))
-		if d.engine.Released() && quiet > quietTime {
-			d.farewell(ctx)
+		idle := time.Duration(d.clock.Nanos() - max(began, d.stats.LastPacket()))
+		if d.engine.Released() && idle > drainIdleTime {
+			d.reportLeft(ctx)
 			return
 		}
 	}
 }
 
-// awaitEnd waits for a signal to end. It returns false if ctx ends first.
-func awaitEnd(ctx context.Context, signals <-chan os.Signal) bool {
+// awaitStopSignal waits for a signal to stop. It returns false if ctx ends first.
+func awaitStopSignal(ctx context.Context, signals <-chan os.Signal) bool {
 	select {
 	case sig := <-signals:
 		return sig != nil
@@ -177,8 +177,8 @@
 	}
 }
 
-// farewell gives the client time to report that the instance has left.
-func (d *daemon) farewell(ctx context.Context) {
+// reportLeft makes the client report that the instance has left, and gives it time to.
+func (d *daemon) reportLeft(ctx context.Context) {
 	d.client.Left()
-	clock.Sleep(ctx, farewellTime)
+	clock.Sleep(ctx, leaveReportTime)
 }
--- a/entry/cmd/catkinrail-entry/main.go
+++ b/entry/cmd/catkinrail-entry/main.go
@@ -27,8 +27,8 @@
 	}
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	d.hup = make(chan os.Signal, 1)
-	signal.Notify(d.hup, syscall.SIGHUP)
+	d.reloadSignals = make(chan os.Signal, 1)
+	signal.Notify(d.reloadSignals, syscall.SIGHUP)
 	if d.node != nil {
 		d.log = logs.NewRing(os.Stdout, logs.Settings{Level: "info"}, "catkinrail-entry", d.node.Name)
 		defer d.log.Close()
--- a/entry/cmd/catkinrail-entry/settings.go
+++ b/entry/cmd/catkinrail-entry/settings.go
@@ -23,20 +23,20 @@
 type Settings struct {
 	Name string          `yaml:"name"`
 	Zone catkinrail.Zone `yaml:"zone"`
-	// Fabric is where packets from the fabric arrive, as IP in UDP.
+	// Fabric is the address for packets from the fabric, as IP in UDP.
 	Fabric string `yaml:"fabric"`
-	// Relay is where other entry instances send to.
+	// Relay is the address for messages from other entry instances.
 	Relay string `yaml:"relay"`
 	// RelayKey authenticates messages between entry instances: 32 hexadecimal
-	// digits, the same everywhere.
+	// digits, the same on all of them.
 	RelayKey string `yaml:"relay-key"`
-	// Announce is where backend servers announce themselves.
+	// Announce is the address at which backend servers announce themselves.
 	Announce string `yaml:"announce"`
 	// Control lists the control instances' addresses.
 	Control []string `yaml:"control"`
-	// Workers is the number of threads that serve the fabric.
+	// Workers is the number of goroutines that receive packets from the fabric.
 	Workers int `yaml:"workers"`
-	// DrainDeadline bounds a graceful shutdown.
+	// DrainDeadline limits the duration of a graceful shutdown.
 	DrainDeadline time.Duration `yaml:"drain-deadline"`
 	// Metrics is the address of the metrics and health pages; empty for none.
 	Metrics string          `yaml:"metrics"`
--- a/entry/cmd/catkinrail-entry/token.go
+++ b/entry/cmd/catkinrail-entry/token.go
@@ -24,15 +24,15 @@
 
 // Timing of an entry instance that routes by token.
 const (
-	// forgetInterval is the time between two looks for flows that are over.
-	forgetInterval = time.Second
-	// rotationTime is the least time after readiness ends for which packets still
-	// come: two checks, half a second apart, must have missed.
-	rotationTime = 1500 * time.Millisecond
-	// tokenQuietTime is how long no packet must have come before the instance ends.
-	tokenQuietTime = 700 * time.Millisecond
-	// killMargin is the part of the grace period that is left for ending.
-	killMargin = 500 * time.Millisecond
+	// expireInterval is the interval at which ended flows and incarnations are removed.
+	expireInterval = time.Second
+	// minDrainTime is the shortest time for which packets still arrive after readiness
+	// ends: the platform stops sending after two failed checks, 500 ms apart.
+	minDrainTime = 1500 * time.Millisecond
+	// tokenDrainIdleTime is the time without a packet after which the instance exits.
+	tokenDrainIdleTime = 700 * time.Millisecond
+	// exitMargin is the part of the grace period that is reserved for exiting.
+	exitMargin = 500 * time.Millisecond
 )
 
 // tokenDaemon is an entry instance that routes by token.
@@ -45,11 +45,11 @@
 	client  *follow.Client
 	worker  *packet.Worker
 	leaving chan struct{}
-	// hup brings the signals that the settings have changed.
-	hup chan os.Signal
+	// reloadSignals receives SIGHUP, at which the settings are read again.
+	reloadSignals chan os.Signal
 }
 
-// loadPlatform reads the settings that the platform gives.
+// loadPlatform reads the platform's settings file.
 func (d *tokenDaemon) loadPlatform() error {
 	file, err := platform.ReadFile()
 	if err != nil {
@@ -66,10 +66,10 @@
 	return nil
 }
 
-// errNoPackets reports settings that name no address for packets.
-var errNoPackets = errors.New("an entry instance needs addresses for packets and readiness")
+// errNoPackets reports settings without the address for packets or for readiness.
+var errNoPackets = errors.New("an entry instance needs listen.datagram_addr and listen.readiness_addr")
 
-// run runs the instance until a signal has ended it.
+// run runs the instance until a signal has stopped it.
 func (d *tokenDaemon) run(ctx context.Context, signals <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -82,7 +82,7 @@
 	}
 	reg := metrics.NewRegistry()
 	d.router = packet.NewRouter(token.New(d.node.Zone, uint64(d.clock.Nanos())), d.clock)
-	d.client = follow.New(d.node.Name, d.node.Zone, seedsOf(d.node), creds, d.clock, d.router, d.log)
+	d.client = follow.New(d.node.Name, d.node.Zone, seedAddrs(d.node), creds, d.clock, d.router, d.log)
 	conn, err := udp.Listen(ctx, d.node.Packets)
 	if err != nil {
 		return err
@@ -97,21 +97,21 @@
 	g.Go(func() error {
 		return metricspage.Serve(ctx, d.node.Metrics.String(), "catkinrail_entry", reg, d.ready)
 	})
-	g.Go(func() error { return d.forget(ctx) })
+	g.Go(func() error { return d.runExpiry(ctx) })
 	g.Go(func() error {
-		settings.Watch(ctx, d.file.Name, d.file.Content, d.hup, d.log, d.reload)
+		settings.Watch(ctx, d.file.Name, d.file.Content, d.reloadSignals, d.log, d.reload)
 		return nil
 	})
 	g.Go(func() error {
 		defer cancel()
-		d.awaitSignals(ctx, signals)
+		d.awaitShutdown(ctx, signals)
 		return nil
 	})
-	d.log.Info().Stringer("packets", d.node.Packets).Str("zone", string(d.node.Zone)).Strs("seeds", seedsOf(d.node)).Msg("started")
+	d.log.Info().Stringer("packets", d.node.Packets).Str("zone", string(d.node.Zone)).Strs("seeds", seedAddrs(d.node)).Msg("started")
 	return g.Wait()
 }
 
-func seedsOf(n *platform.Node) []string {
+func seedAddrs(n *platform.Node) []string {
 	var list []string
 	for _, seed := range n.Seeds {
 		list = append(list, seed.String())
@@ -119,7 +119,7 @@
 	return list
 }
 
-// ready tells the platform's router whether to send packets here.
+// ready returns an error if the platform should send no packets to this instance.
 func (d *tokenDaemon) ready() error {
 	select {
 	case <-d.leaving:
@@ -132,8 +132,8 @@
 	return nil
 }
 
-func (d *tokenDaemon) forget(ctx context.Context) error {
-	t := time.NewTicker(forgetInterval)
+func (d *tokenDaemon) runExpiry(ctx context.Context) error {
+	t := time.NewTicker(expireInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -145,9 +145,9 @@
 	}
 }
 
-// awaitSignals returns once a signal has ended the instance and it may go.
-func (d *tokenDaemon) awaitSignals(ctx context.Context, signals <-chan os.Signal) {
-	if !awaitEnd(ctx, signals) {
+// awaitShutdown waits for a signal, ends readiness and drains the instance.
+func (d *tokenDaemon) awaitShutdown(ctx context.Context, signals <-chan os.Signal) {
+	if !awaitStopSignal(ctx, signals) {
 		return
 	}
 	d.log.Info().Msg("leaving")
@@ -155,22 +155,22 @@
 	d.drain(ctx)
 }
 
-// reload takes the settings that may change while the instance runs.
+// reload applies the settings that may change while the instance runs: the seeds.
 func (d *tokenDaemon) reload(b []byte) error {
 	n, err := platform.ParseNode(d.file.Name, b)
 	if err != nil {
 		return err
 	}
-	d.client.SetSeeds(seedsOf(n))
+	d.client.SetSeeds(seedAddrs(n))
 	return nil
 }
 
-// drain goes on forwarding what still comes until nothing does, or until the
-// platform is about to kill the process.
+// drain waits while the worker forwards the packets that still arrive. It returns when
+// none arrive any more, or shortly before the platform kills the process.
 func (d *tokenDaemon) drain(ctx context.Context) {
-	deadline := time.NewTimer(d.node.Grace - killMargin)
+	deadline := time.NewTimer(d.node.Grace - exitMargin)
 	defer deadline.Stop()
-	poll := time.NewTicker(drainPoll)
+	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
 	began := d.clock.Nanos()
 	for {
@@ -178,12 +178,12 @@
 		case <-ctx.Done():
 			return
 		case <-deadline.C:
-			d.log.Info().Msg("ended at the deadline")
+			d.log.Info().Msg("stopped at the drain deadline")
 			return
 		case <-poll.C:
 		}
 		now := d.clock.Nanos()
-		if now-began > int64(rotationTime) && now-d.worker.LastPacket() > int64(tokenQuietTime) {
+		if now-began > int64(minDrainTime) && now-d.worker.LastPacket() > int64(tokenDrainIdleTime) {
 			return
 		}
 	}
