--- a/entry/backend/announce.go
+++ b/entry/backend/announce.go
@@ -123,9 +123,9 @@
 	return a.Incarnation == b.Incarnation && a.Draining == b.Draining && a.Weight == b.Weight
 }
 
-// Keep adds an announcement that is valid for a year, for emulated backend servers
+// AddPermanent adds an announcement that is valid for a year, for emulated backend servers
 // that don't announce themselves.
-func (r *Registry) Keep(a *plan.Announcement) {
+func (r *Registry) AddPermanent(a *plan.Announcement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	const forever = 365 * 24 * time.Hour
--- a/entry/control/client.go
+++ b/entry/control/client.go
@@ -80,8 +80,8 @@
 	c.leaving.Store(true)
 }
 
-// Left makes the client report that the instance no longer forwards packets.
-func (c *Client) Left() {
+// FinishLeaving makes the client report that the instance no longer forwards packets.
+func (c *Client) FinishLeaving() {
 	c.left.Store(true)
 }
 
