--- a/entry/cmd/catkinrail-entry/daemon.go
+++ b/entry/cmd/catkinrail-entry/daemon.go
@@ -109,7 +109,7 @@
 	return metricspage.ServeHTTP(ctx, d.cfg.Announce, mux)
 }
 
-// errNotReady tells the fabric's health check to send no packets here.
+// errNotReady is returned to readiness checks while the instance should get no packets.
 var errNotReady = errors.New("no lease, no configuration, or leaving")
 
 func (d *daemon) serveMetrics(ctx context.Context, reg metrics.Registry) error {
