--- a/control/core/core.go
+++ b/control/core/core.go
@@ -272,7 +272,7 @@
 func (c *Core) apply(e *quorum.Entry) error {
 	if e.Kind == quorum.EntryData {
 		var change cluster.Change
-		if err := cluster.DecodePacked(e.Data, &change); err != nil {
+		if err := cluster.DecodeCompressed(e.Data, &change); err != nil {
 			return err
 		}
 		if err := c.state.Apply(change); err != nil {
@@ -320,8 +320,8 @@
 
 // compact replaces a long log by a snapshot.
 func (c *Core) compact() error {
-	applied := c.node.Applied()
-	if !c.cfg.Journal.Full() && c.node.LastIndex()-c.firstIndex() < maxEntries {
+	applied := c.node.AppliedIndex()
+	if !c.cfg.Journal.NeedsSnapshot() && c.node.LastIndex()-c.firstIndex() < maxEntries {
 		return nil
 	}
 	if applied == c.firstIndex() {
@@ -332,7 +332,7 @@
 		return err
 	}
 	s := c.node.Snapshot(data)
-	if err := c.cfg.Journal.SaveSnapshot(s, c.node.After(applied)); err != nil {
+	if err := c.cfg.Journal.SaveSnapshot(s, c.node.EntriesAfter(applied)); err != nil {
 		return err
 	}
 	c.node.Compact(s)
@@ -340,7 +340,7 @@
 }
 
 func (c *Core) firstIndex() uint64 {
-	return c.node.FirstIndex()
+	return c.node.SnapshotIndex()
 }
 
 // work does what the leader has to do: propose the next change and advance
@@ -387,7 +387,7 @@
 		p.finish(Result{Answer: answer, Err: err})
 		return
 	}
-	data, err := cluster.EncodePacked(&cluster.Change{Version: c.state.Version + 1, Events: events})
+	data, err := cluster.EncodeCompressed(&cluster.Change{Version: c.state.Version + 1, Events: events})
 	if err != nil {
 		p.finish(Result{Err: err})
 		return
--- a/control/core/core_test.go
+++ b/control/core/core_test.go
@@ -183,7 +183,7 @@
 		e.down[id] = id != old.cfg.ID
 	}
 	inFlight := e.submit(old, create("r2", "drawvault", "192.0.2.2:443"))
-	e.run(quorum.DefaultTiming.Election)
+	e.run(quorum.DefaultTiming.ElectionTimeout)
 	_, err := old.heartbeat(&message.Heartbeat{ID: 1})
 	require.ErrorIs(t, err, ErrNotLeader)
 	e.run(2 * time.Second)
@@ -244,7 +244,7 @@
 	data, err := cluster.Encode(lead.state)
 	require.NoError(t, err)
 	s := lead.node.Snapshot(data)
-	require.NoError(t, lead.cfg.Journal.SaveSnapshot(s, lead.node.After(s.Index)))
+	require.NoError(t, lead.cfg.Journal.SaveSnapshot(s, lead.node.EntriesAfter(s.Index)))
 	lead.node.Compact(s)
 	e.start(behind)
 	e.run(5 * time.Second)
--- a/control/core/leader.go
+++ b/control/core/leader.go
@@ -47,7 +47,7 @@
 	until int64
 	// current is the time at which the instance last had the latest version.
 	current int64
-	member  plan.Member
+	member  plan.InstanceStatus
 	leaving bool
 }
 
@@ -99,7 +99,7 @@
 	}
 	l.allowForStall(c, now)
 	l.planned = now
-	members := make(map[catkinrail.InstanceID]plan.Member, len(l.members))
+	members := make(map[catkinrail.InstanceID]plan.InstanceStatus, len(l.members))
 	for id, e := range l.members {
 		if c.state.Instances[id] == nil {
 			delete(l.members, id)
@@ -161,7 +161,7 @@
 	if len(lost) > 0 {
 		return plan.Expire(c.state, lost)
 	}
-	return plan.Silence(c.state, silent)
+	return plan.EjectSilent(c.state, silent)
 }
 
 // Heartbeat takes an entry instance's report, renews its lease and returns what
@@ -191,7 +191,7 @@
 		return reply, nil
 	}
 	c.leader.note(c, hb, now)
-	reply.Changes, reply.State = c.since(hb.Have)
+	reply.Changes, reply.State = c.since(hb.StateVersion)
 	return reply, nil
 }
 
@@ -203,8 +203,8 @@
 		l.members[hb.ID] = e
 	}
 	e.until = max(e.until, now+l.leaseSpan(c))
-	e.member = plan.Member{Version: hb.Have, Synced: hb.Synced, Busy: hb.Busy}
-	if hb.Have >= c.state.Version {
+	e.member = plan.InstanceStatus{Version: hb.StateVersion, Synced: hb.Synced, Busy: hb.Busy}
+	if hb.StateVersion >= c.state.Version {
 		e.current = now
 	}
 	if hb.Leaving && !e.leaving {
@@ -212,10 +212,10 @@
 		c.enqueue(func(s *cluster.State) []cluster.Event { return plan.Leave(s, hb.ID) })
 	}
 	if hb.Left {
-		c.enqueue(func(s *cluster.State) []cluster.Event { return plan.Left(s, hb.ID) })
+		c.enqueue(func(s *cluster.State) []cluster.Event { return plan.CompleteLeave(s, hb.ID) })
 	}
 	for id, buckets := range hb.Exceptions {
-		c.enqueue(func(s *cluster.State) []cluster.Event { return plan.Exceptions(s, id, buckets) })
+		c.enqueue(func(s *cluster.State) []cluster.Event { return plan.PrepareExceptions(s, id, buckets) })
 	}
 	for i := range hb.Announcements {
 		l.announce(c, &hb.Announcements[i], now)
@@ -368,14 +368,14 @@
 func (c *Core) status() *Status {
 	now := c.now()
 	s := &Status{
-		Term: c.node.Term(), Commit: c.node.Commit(), Node: c.node.ID(), Members: c.node.Members(),
+		Term: c.node.Term(), Commit: c.node.CommitIndex(), Node: c.node.ID(), Members: c.node.Members(),
 		Match: map[quorum.NodeID]uint64{}, Leading: c.leader.active,
 		Entries: map[catkinrail.InstanceID]EntryStatus{},
 		Burn:    map[catkinrail.ServiceID][]burn.Report{},
 	}
 	s.Leader = s.Members.Nodes[c.node.LeaderID()].Name
 	for id := range s.Members.Nodes {
-		s.Match[id] = c.node.Match(id)
+		s.Match[id] = c.node.MatchIndex(id)
 	}
 	s.Match[c.node.ID()] = c.node.LastIndex()
 	for id, e := range c.leader.members {
--- a/control/core/members.go
+++ b/control/core/members.go
@@ -17,10 +17,10 @@
 const promoteGap = 16
 
 // Greeting says who this instance is.
-func (c *Core) Greeting(ctx context.Context) (*message.Greeting, error) {
-	g := &message.Greeting{}
+func (c *Core) Greeting(ctx context.Context) (*message.HelloReply, error) {
+	g := &message.HelloReply{}
 	err := c.do(ctx, func() {
-		*g = message.Greeting{Node: c.node.ID(), Name: c.cfg.Name, LastIndex: c.node.LastIndex()}
+		*g = message.HelloReply{Node: c.node.ID(), Name: c.cfg.Name, LastIndex: c.node.LastIndex()}
 	})
 	return g, err
 }
@@ -55,11 +55,11 @@
 }
 
 func (c *Core) answerJoin(req *message.JoinRequest) joinAnswer {
-	a := joinAnswer{JoinReply: message.JoinReply{Wait: true, Leader: c.node.LeaderID()}}
+	a := joinAnswer{JoinReply: message.JoinReply{RetryLater: true, Leader: c.node.LeaderID()}}
 	if c.leader.active {
 		a.err = c.joinStep(req)
-		a.Wait = errors.Is(a.err, ErrWait)
-		if a.Wait {
+		a.RetryLater = errors.Is(a.err, ErrWait)
+		if a.RetryLater {
 			a.err = nil
 		}
 	}
@@ -81,13 +81,13 @@
 		next.Learners[req.Node] = true
 	case namesake(m, req) != 0:
 		old := namesake(m, req)
-		if m.Voter(old) && c.node.Match(req.Node)+promoteGap < c.node.LastIndex() {
+		if m.Voter(old) && c.node.MatchIndex(req.Node)+promoteGap < c.node.LastIndex() {
 			return ErrWait
 		}
 		delete(next.Nodes, old)
 		delete(next.Learners, old)
 	default:
-		if c.node.Match(req.Node)+promoteGap < c.node.LastIndex() {
+		if c.node.MatchIndex(req.Node)+promoteGap < c.node.LastIndex() {
 			return ErrWait
 		}
 		delete(next.Learners, req.Node)
--- a/control/operator/directory_test.go
+++ b/control/operator/directory_test.go
@@ -26,7 +26,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			tt.view.Addr = netip.MustParseAddrPort("10.0.0.9:80")
-			tt.view.Heard = now.Add(-340 * time.Millisecond).UnixNano()
+			tt.view.LastReport = now.Add(-340 * time.Millisecond).UnixNano()
 			got := describeReporting(&tt.view, now)
 			require.Equal(t, tt.want, got.GetState())
 			require.Equal(t, int64(340), got.GetAgeMs())
--- a/coordination/token/engine.go
+++ b/coordination/token/engine.go
@@ -221,8 +221,8 @@
 	}
 }
 
-// Observe passes the times that are learnt on to o.
-func (e *Engine) Observe(o Observer) {
+// SetObserver passes the times that are learnt on to o.
+func (e *Engine) SetObserver(o Observer) {
 	e.observer = o
 }
 
--- a/coordination/token/engine_test.go
+++ b/coordination/token/engine_test.go
@@ -26,19 +26,19 @@
 	}
 }
 
-func backend(name string, identity uint64) token.Followed {
-	return token.Followed{Incarnation: catkinrail.Incarnation{
-		Name: name, Identity: identity, Born: 100, Sequence: 1, Service: "logbook", Zone: "a", Slots: 2,
+func backend(name string, identity uint64) token.FollowedBackend {
+	return token.FollowedBackend{Incarnation: catkinrail.Incarnation{
+		Name: name, Identity: identity, StartedAt: 100, Sequence: 1, Service: "logbook", Zone: "a", Slots: 2,
 		Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(identity)}), 80),
 	}}
 }
 
 // newEngine returns an engine with a document and the named backend servers.
-func newEngine(list ...token.Followed) *token.Engine {
+func newEngine(list ...token.FollowedBackend) *token.Engine {
 	e := token.New("a", 1)
 	e.SetDocument(document(1))
 	e.Update(list, 0)
-	e.Heard(0)
+	e.RecordContact(0)
 	return e
 }
 
@@ -158,10 +158,10 @@
 	// A backend server that drains keeps its flows; one that has ended does not.
 	b := backend("b", 2)
 	b.Sequence, b.Draining = 2, true
-	e.Update([]token.Followed{b}, 0)
+	e.Update([]token.FollowedBackend{b}, 0)
 	require.Equal(t, token.Forward, e.Decide(data(9, 2, 1, 1, 10), 0).Action)
 	b.Gone = true
-	e.Update([]token.Followed{b}, 1000*ms)
+	e.Update([]token.FollowedBackend{b}, 1000*ms)
 	require.Equal(t, token.Forward, e.Decide(data(9, 2, 1, 1, 10), 1500*ms).Action, "it may still send its last packets")
 	require.Equal(t, token.Refuse, e.Decide(data(9, 2, 1, 1, 10), 4000*ms).Action)
 	abort := data(9, 2, 1, 1, 0)
@@ -173,14 +173,14 @@
 	// Identities of more than 32 bits that fold to the same token.
 	older, younger := backend("a", 0x1_0000_0003), backend("b", 0x2_0000_0000)
 	older.Identity, younger.Identity = 0x1_0000_0003, 0x3_0000_0001
-	younger.Born = 200
+	younger.StartedAt = 200
 	require.Equal(t, older.Token(), younger.Token())
 	e := newEngine(younger, older)
 	for port := range uint16(20) {
 		require.Equal(t, "a", e.Decide(opening(port, 0), 0).Backend.Name)
 	}
 	older.Gone = true
-	e.Update([]token.Followed{older}, 0)
+	e.Update([]token.FollowedBackend{older}, 0)
 	require.Equal(t, "b", e.Decide(opening(99, 0), 0).Backend.Name)
 }
 
@@ -193,19 +193,19 @@
 
 	draining := backend("a", 1)
 	draining.Sequence, draining.Draining = 5, true
-	require.Len(t, e.Update([]token.Followed{draining}, 0), 1)
-	require.Empty(t, e.Update([]token.Followed{backend("a", 1)}, 0), "a late report")
+	require.Len(t, e.Update([]token.FollowedBackend{draining}, 0), 1)
+	require.Empty(t, e.Update([]token.FollowedBackend{backend("a", 1)}, 0), "a late report")
 	require.Equal(t, token.ReasonNoBackend, e.Decide(opening(1, 0), 0).Reason)
 
 	silent := backend("a", 1)
 	silent.Silent = true
-	require.Len(t, e.Update([]token.Followed{silent}, 0), 1, "what the sender observed counts although its report is old")
+	require.Len(t, e.Update([]token.FollowedBackend{silent}, 0), 1, "what the sender observed counts although its report is old")
 
 	reborn := backend("a", 1)
-	reborn.Born = 200
-	require.Len(t, e.Update([]token.Followed{reborn}, 0), 1)
+	reborn.StartedAt = 200
+	require.Len(t, e.Update([]token.FollowedBackend{reborn}, 0), 1)
 	require.Equal(t, token.ReasonPlaced, e.Decide(opening(2, 0), 0).Reason)
-	require.Empty(t, e.Update([]token.Followed{draining}, 0), "the earlier life")
+	require.Empty(t, e.Update([]token.FollowedBackend{draining}, 0), "the earlier life")
 }
 
 func TestSplitRoutes(t *testing.T) {
@@ -345,18 +345,18 @@
 // TestEndedIncarnationsAreForgotten replays a year of releases: what is known stays
 // as large as what lives.
 func TestEndedIncarnationsAreForgotten(t *testing.T) {
-	keep := int64(catkinrail.KeepEnded)
+	keep := int64(catkinrail.EndedRetention)
 	e := newEngine(backend("a", 1), backend("b", 2), backend("c", 3))
 	gone, silent := backend("b", 2), backend("c", 3)
 	gone.Gone, silent.Silent = true, true
-	e.Update([]token.Followed{gone, silent}, 0)
+	e.Update([]token.FollowedBackend{gone, silent}, 0)
 	e.Tick(keep)
 	require.Len(t, e.Backends(), 3)
 	e.Tick(keep + 1)
 	require.Len(t, e.Backends(), 1)
 	require.Equal(t, token.ReasonUnknownToken, e.Decide(data(1, gone.Token(), 2, 1, 1), keep+1).Reason)
 	silent.Silent, silent.Sequence = false, 9
-	require.Len(t, e.Update([]token.Followed{silent}, keep+2), 1, "it reports again")
+	require.Len(t, e.Update([]token.FollowedBackend{silent}, keep+2), 1, "it reports again")
 	require.Equal(t, token.ReasonToken, e.Decide(data(2, silent.Token(), 2, 1, 1), keep+2).Reason)
 }
 
@@ -367,7 +367,7 @@
 	cold.Warmup, cold.Sequence = time.Second, 5
 	e := newEngine(cold, warm)
 	cold.Sequence = 4
-	e.Update([]token.Followed{cold}, 900*ms)
+	e.Update([]token.FollowedBackend{cold}, 900*ms)
 	placed := map[string]int{}
 	for port := range uint16(20) {
 		placed[e.Decide(opening(port, 0), 1500*ms).Backend.Name]++
--- a/coordination/token/update.go
+++ b/coordination/token/update.go
@@ -9,8 +9,8 @@
 	"catkinrail.example/catkinrail"
 )
 
-// Followed is an incarnation with what control has observed of it.
-type Followed struct {
+// FollowedBackend is an incarnation with what control has observed of it.
+type FollowedBackend struct {
 	catkinrail.Incarnation
 	Silent bool
 }
@@ -37,9 +37,9 @@
 	return e.document.Version
 }
 
-// Heard notes an update of a control instance that is in touch with its leader
+// RecordContact notes an update of a control instance that is in touch with its leader
 // and has told all that it knows.
-func (e *Engine) Heard(now int64) {
+func (e *Engine) RecordContact(now int64) {
 	e.heard = now
 }
 
@@ -55,7 +55,7 @@
 
 // Update takes what control knows of backend servers and returns those that this
 // changed. What is older than what is known is passed over.
-func (e *Engine) Update(list []Followed, now int64) []*Backend {
+func (e *Engine) Update(list []FollowedBackend, now int64) []*Backend {
 	var changed []*Backend
 	for i := range list {
 		in := &list[i]
@@ -63,7 +63,7 @@
 		if b != nil && in.ended(&b.Incarnation) {
 			continue
 		}
-		if b == nil || b.Born != in.Born {
+		if b == nil || b.StartedAt != in.StartedAt {
 			// The flows of an earlier life have ended with it.
 			b = &Backend{}
 			e.backends[in.Name] = b
@@ -79,16 +79,16 @@
 }
 
 // ended reports whether known says that the life which in tells of is over.
-func (in *Followed) ended(known *catkinrail.Incarnation) bool {
-	if in.Born != known.Born {
-		return in.Born < known.Born
+func (in *FollowedBackend) ended(known *catkinrail.Incarnation) bool {
+	if in.StartedAt != known.StartedAt {
+		return in.StartedAt < known.StartedAt
 	}
 	return known.Gone && !in.Gone
 }
 
 // take takes a report, unless a newer one is known: then only what its sender
 // observed is new. It reports whether the backend server changed.
-func (b *Backend) take(in *Followed, now int64) bool {
+func (b *Backend) take(in *FollowedBackend, now int64) bool {
 	before := *b
 	if in.Newer(&b.Incarnation) {
 		b.Incarnation = in.Incarnation
@@ -113,7 +113,7 @@
 		if b.Gone {
 			since = b.ended
 		}
-		if (b.Gone || b.silent) && now-since > int64(catkinrail.KeepEnded) {
+		if (b.Gone || b.silent) && now-since > int64(catkinrail.EndedRetention) {
 			delete(e.backends, name)
 		}
 	}
@@ -137,7 +137,7 @@
 			}
 			return -1
 		}
-		return cmp.Or(cmp.Compare(a.Born, b.Born), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), cmp.Compare(a.Name, b.Name))
 	})
 	clear(e.tokens)
 	clear(e.services)
--- a/emulator/bench/token.go
+++ b/emulator/bench/token.go
@@ -27,14 +27,14 @@
 	e.SetDocument(&catkinrail.Document{Version: 1, Services: []string{"bench"}, Routes: []catkinrail.Route{{
 		Name: "bench", Listen: serviceAddr, Targets: []catkinrail.Target{{Service: "bench", Weight: 1}},
 	}}})
-	var list []token.Followed
+	var list []token.FollowedBackend
 	for i := range servers {
-		list = append(list, token.Followed{Incarnation: catkinrail.Incarnation{
-			Name: "host-" + string(rune('a'+i)), Identity: uint64(i + 1), Born: 1, Service: "bench", Slots: slotsPerServer, Zone: "a", Addr: to,
+		list = append(list, token.FollowedBackend{Incarnation: catkinrail.Incarnation{
+			Name: "host-" + string(rune('a'+i)), Identity: uint64(i + 1), StartedAt: 1, Service: "bench", Slots: slotsPerServer, Zone: "a", Addr: to,
 		}})
 	}
 	e.Update(list, at)
-	e.Heard(at)
+	e.RecordContact(at)
 	return e
 }
 
--- a/entry/cmd/catkinrail-entry/daemon.go
+++ b/entry/cmd/catkinrail-entry/daemon.go
@@ -124,7 +124,7 @@
 		if leaseHeld {
 			leased.Update(1)
 		}
-		if d.client.Ready() && (leaseHeld || d.engine.Cut()) {
+		if d.client.Ready() && (leaseHeld || d.engine.Partitioned()) {
 			return nil
 		}
 		return errNotReady
--- a/entry/control/client.go
+++ b/entry/control/client.go
@@ -144,7 +144,7 @@
 }
 
 func (c *Client) register(ctx context.Context) error {
-	var out message.Registered
+	var out message.RegisterReply
 	err := c.call(ctx, "register", callTimeout, &c.cfg.Registration, &out,
 		func(ctx context.Context, cc control.DRPCControlClient, f *control.Frame) (*control.Frame, error) {
 			return cc.Register(ctx, f)
@@ -178,12 +178,12 @@
 	e := c.cfg.Engine
 	sent := c.cfg.Clock.Nanos()
 	hb := message.Heartbeat{
-		ID: e.Self(), Term: c.term, Have: e.Version(), Synced: e.Synced(), Busy: e.Busy(sent),
+		ID: e.Self(), Term: c.term, StateVersion: e.Version(), Synced: e.Synced(), Busy: e.Busy(sent),
 		Announcements: c.cfg.Registry.Due(), Exceptions: e.Exceptions(),
 		Leaving: c.leaving.Load(), Left: c.left.Load(), Counts: c.cfg.Stats.TakeCounts(), Wait: true,
 	}
 	timeout := callTimeout
-	if hb.Have == 0 {
+	if hb.StateVersion == 0 {
 		timeout = snapshotTimeout
 	}
 	var r message.HeartbeatReply
--- a/entry/follow/session.go
+++ b/entry/follow/session.go
@@ -56,7 +56,7 @@
 				return err
 			}
 			var u message.FollowUpdate
-			if err := cluster.DecodePacked(f.GetBody(), &u); err != nil {
+			if err := cluster.DecodeCompressed(f.GetBody(), &u); err != nil {
 				return err
 			}
 			s.apply(&u)
@@ -113,9 +113,9 @@
 	if u.Current {
 		s.lastContact, s.hadContact = c.clock.Now(), true
 	}
-	list := make([]token.Followed, len(u.Backends))
+	list := make([]token.FollowedBackend, len(u.Backends))
 	for i := range u.Backends {
-		list[i] = token.Followed{Incarnation: u.Backends[i].Incarnation, Silent: u.Backends[i].Silent}
+		list[i] = token.FollowedBackend{Incarnation: u.Backends[i].Incarnation, Silent: u.Backends[i].Silent}
 	}
 	var changed []*token.Backend
 	var version uint64
@@ -127,14 +127,14 @@
 		}
 		version = e.Version()
 		if u.Current && u.Complete {
-			e.Heard(now)
+			e.RecordContact(now)
 		}
 	})
 	if newer {
 		c.log.Info().Uint64("version", version).Str("control", s.addr).Msg("document in force")
 	}
 	for _, b := range changed {
-		c.log.Info().Str("backend", b.Name).Str("service", b.Service).Stringer("address", b.Addr).Int64("born", b.Born).
+		c.log.Info().Str("backend", b.Name).Str("service", b.Service).Stringer("address", b.Addr).Int64("born", b.StartedAt).
 			Uint64("sequence", b.Sequence).Bool("draining", b.Draining).Bool("gone", b.Gone).Bool("silent", b.Silent()).
 			Str("control", s.addr).Msg("backend server changed")
 	}
--- a/entry/packet/worker.go
+++ b/entry/packet/worker.go
@@ -58,7 +58,7 @@
 	reasons    []metrics.Counter
 	malformed  metrics.Counter
 	sendFailed metrics.Counter
-	gauge      overload.Gauge
+	gauge      overload.Detector
 	lastPacket atomic.Int64
 	arena      []byte
 	events     []flowEvent
@@ -82,7 +82,7 @@
 		arena: make([]byte, 0, arenaSize),
 	}
 	r.Do(func(e *token.Engine, _ int64) {
-		e.Observe(&observer{
+		e.SetObserver(&observer{
 			handshake: metricspage.Histogram("handshake", reg), answer: metricspage.Histogram("answer", reg),
 		})
 	})
@@ -130,7 +130,7 @@
 	w.events = w.events[:0]
 	w.router.Do(func(e *token.Engine, now int64) {
 		w.lastPacket.Store(now)
-		overloaded := w.gauge.Read(n == udp.BatchSize, now)
+		overloaded := w.gauge.ObserveRead(n == udp.BatchSize, now)
 		if e.SetOverloaded(overloaded) {
 			w.log.Info().Bool("overloaded", overloaded).Int("flows", e.Flows()).Msg("overload changed")
 		}
--- a/entry/packet/worker_test.go
+++ b/entry/packet/worker_test.go
@@ -72,10 +72,10 @@
 	e.SetDocument(&catkinrail.Document{Version: 7, Services: []string{"logbook"}, Routes: []catkinrail.Route{{
 		Name: "r", Listen: netip.MustParseAddrPort("198.18.0.1:443"), Targets: []catkinrail.Target{{Service: "logbook", Weight: 1}},
 	}}})
-	e.Update([]token.Followed{{Incarnation: catkinrail.Incarnation{
-		Name: "i-9", Identity: 9, Born: 1, Service: "logbook", Slots: 2, Zone: "a", Addr: netip.MustParseAddrPort("10.0.0.9:80"),
+	e.Update([]token.FollowedBackend{{Incarnation: catkinrail.Incarnation{
+		Name: "i-9", Identity: 9, StartedAt: 1, Service: "logbook", Slots: 2, Zone: "a", Addr: netip.MustParseAddrPort("10.0.0.9:80"),
 	}}}, clk.Nanos())
-	e.Heard(clk.Nanos())
+	e.RecordContact(clk.Nanos())
 	s := &fakeSocket{}
 	reg := metrics.NewRegistry()
 	log := logs.New(lines, logs.Settings{Level: "info"}, "entry", "entry-1")
--- a/state/directory/directory.go
+++ b/state/directory/directory.go
@@ -125,7 +125,7 @@
 }
 
 func sameState(a, b *catkinrail.Incarnation) bool {
-	return a.Born == b.Born && a.Gone == b.Gone && a.Draining == b.Draining && a.Addr == b.Addr &&
+	return a.StartedAt == b.StartedAt && a.Gone == b.Gone && a.Draining == b.Draining && a.Addr == b.Addr &&
 		a.Service == b.Service && a.Slots == b.Slots && a.Zone == b.Zone
 }
 
@@ -150,7 +150,7 @@
 
 // later orders two incarnations that hold the same address.
 func (e *entry) later(other *entry) bool {
-	if c := cmp.Compare(e.inc.Born, other.inc.Born); c != 0 {
+	if c := cmp.Compare(e.inc.StartedAt, other.inc.StartedAt); c != 0 {
 		return c > 0
 	}
 	return e.inc.Name > other.inc.Name
@@ -167,23 +167,23 @@
 // Leave ends an incarnation. If born is zero, it ends the one that is known.
 func (d *Directory) Leave(name string, born, now int64) Outcome {
 	e := d.entries[name]
-	if e == nil || e.inc.Gone || (born != 0 && born < e.inc.Born) {
+	if e == nil || e.inc.Gone || (born != 0 && born < e.inc.StartedAt) {
 		return Ignored
 	}
-	e.inc.Born = max(e.inc.Born, born)
+	e.inc.StartedAt = max(e.inc.StartedAt, born)
 	e.heard, e.local = now, true
 	d.end(e)
 	return Changed
 }
 
-// Pulse takes a renewal that another instance passes on. It returns false if it
+// Renew takes a renewal that another instance passes on. It returns false if it
 // doesn't renew what is known here, so that the whole report must be told.
-func (d *Directory) Pulse(name string, born int64, sequence uint64, draining bool, now int64) bool {
+func (d *Directory) Renew(name string, born int64, sequence uint64, draining bool, now int64) bool {
 	e := d.entries[name]
-	if e == nil || e.inc.Born < born {
+	if e == nil || e.inc.StartedAt < born {
 		return false
 	}
-	if e.inc.Born != born || e.inc.Gone || e.inc.Sequence >= sequence {
+	if e.inc.StartedAt != born || e.inc.Gone || e.inc.Sequence >= sequence {
 		return true
 	}
 	if e.inc.Draining != draining {
@@ -204,7 +204,7 @@
 	var silent []string
 	for name, e := range d.entries {
 		age := now - e.heard
-		if (e.inc.Gone || e.silent) && age > int64(catkinrail.KeepEnded) {
+		if (e.inc.Gone || e.silent) && age > int64(catkinrail.EndedRetention) {
 			delete(d.entries, name)
 			if d.byAddr[e.inc.Addr] == name {
 				delete(d.byAddr, e.inc.Addr)
@@ -221,9 +221,9 @@
 	return silent
 }
 
-// Shift moves the time of every report by the span for which this instance could
+// CompensatePause moves the time of every report by the span for which this instance could
 // not hear any.
-func (d *Directory) Shift(span int64) {
+func (d *Directory) CompensatePause(span int64) {
 	for _, e := range d.entries {
 		e.heard += span
 	}
@@ -246,12 +246,12 @@
 type View struct {
 	catkinrail.Incarnation
 	Silent bool
-	// Heard is the time of its last report, in nanoseconds of the clock.
-	Heard int64
+	// LastReport is the time of its last report, in nanoseconds of the clock.
+	LastReport int64
 }
 
 func (e *entry) view(now int64) View {
-	v := View{Incarnation: e.inc, Silent: e.silent, Heard: e.heard}
+	v := View{Incarnation: e.inc, Silent: e.silent, LastReport: e.heard}
 	v.Warmup = time.Duration(max(0, e.warm-now))
 	return v
 }
@@ -269,9 +269,9 @@
 	return list
 }
 
-// Heard returns what backend servers said to this instance itself after a
+// LocalSince returns what backend servers said to this instance itself after a
 // revision: what has changed, and what was merely renewed.
-func (d *Directory) Heard(revision uint64, now int64) (changed []catkinrail.Incarnation, renewed []catkinrail.Incarnation) {
+func (d *Directory) LocalSince(revision uint64, now int64) (changed []catkinrail.Incarnation, renewed []catkinrail.Incarnation) {
 	for _, e := range d.entries {
 		switch {
 		case !e.local || e.pulse <= revision:
@@ -300,7 +300,7 @@
 	var b []byte
 	for name, e := range d.entries {
 		b = append(b[:0], name...)
-		b = binary.LittleEndian.AppendUint64(b, uint64(e.inc.Born))
+		b = binary.LittleEndian.AppendUint64(b, uint64(e.inc.StartedAt))
 		b = append(b, boolByte(e.inc.Gone), boolByte(e.inc.Draining))
 		sum ^= xxh3.Hash(b)
 	}
--- a/state/directory/directory_test.go
+++ b/state/directory/directory_test.go
@@ -26,7 +26,7 @@
 
 func report(name string, born int64, sequence uint64, addr int) catkinrail.Incarnation {
 	return catkinrail.Incarnation{
-		Name: name, Identity: 1, Born: born, Sequence: sequence, Service: "logbook", Slots: 2, Zone: "a",
+		Name: name, Identity: 1, StartedAt: born, Sequence: sequence, Service: "logbook", Slots: 2, Zone: "a",
 		Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(addr)}), 80),
 	}
 }
@@ -39,7 +39,7 @@
 func apply(d *directory.Directory, list []change, now int64) {
 	for i := range list {
 		if list[i].leave {
-			d.Leave(list[i].inc.Name, list[i].inc.Born, now)
+			d.Leave(list[i].inc.Name, list[i].inc.StartedAt, now)
 			continue
 		}
 		d.Report(&list[i].inc, now, true)
@@ -78,7 +78,7 @@
 				if inc.Gone {
 					continue
 				}
-				live[inc.Name] = inc.Born
+				live[inc.Name] = inc.StartedAt
 				if inc.Draining {
 					drains = append(drains, inc.Name)
 				}
@@ -98,14 +98,14 @@
 	require.True(t, d.Since(0, 0)[0].Silent)
 	require.Empty(t, d.Tick(second+int64(silentAfter)+2))
 
-	require.True(t, d.Pulse("a", 100, 2, false, 10*second))
+	require.True(t, d.Renew("a", 100, 2, false, 10*second))
 	require.False(t, d.Since(0, 0)[0].Silent)
-	require.False(t, d.Pulse("b", 100, 2, false, 10*second))
-	require.False(t, d.Pulse("a", 200, 1, false, 10*second), "a later life must be fetched")
-	require.False(t, d.Pulse("a", 100, 3, true, 10*second), "a change of state must be fetched")
+	require.False(t, d.Renew("b", 100, 2, false, 10*second))
+	require.False(t, d.Renew("a", 200, 1, false, 10*second), "a later life must be fetched")
+	require.False(t, d.Renew("a", 100, 3, true, 10*second), "a change of state must be fetched")
 
 	// A process that was held up for a minute heard nobody meanwhile.
-	d.Shift(60 * second)
+	d.CompensatePause(60 * second)
 	require.Empty(t, d.Tick(70*second))
 
 	// What is long over is forgotten.
@@ -119,13 +119,13 @@
 	a, b := report("a", 100, 1, 1), report("b", 100, 1, 2)
 	d.Report(&a, second, true)
 	d.Report(&b, second, false)
-	changed, renewed := d.Heard(0, second)
+	changed, renewed := d.LocalSince(0, second)
 	require.Len(t, changed, 1)
 	require.Empty(t, renewed)
 	at := d.Revision()
 	a.Sequence++
 	require.Equal(t, directory.Renewed, d.Report(&a, 2*second, true))
-	changed, renewed = d.Heard(at, second)
+	changed, renewed = d.LocalSince(at, second)
 	require.Empty(t, changed)
 	require.Len(t, renewed, 1)
 	require.Empty(t, d.Since(at, second), "a renewal is no news to entry instances")
@@ -175,7 +175,7 @@
 	live := map[string]int64{}
 	for _, inc := range d.All(1) {
 		if !inc.Gone {
-			live[inc.Name] = inc.Born
+			live[inc.Name] = inc.StartedAt
 		}
 	}
 	return live
