--- a/transport/rpc/dial.go
+++ b/transport/rpc/dial.go
@@ -10,18 +10,18 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Timing of dialling.
+// Timing of connection attempts.
 const (
-	// dialTimeout exceeds the latency between regions many times.
+	// dialTimeout is many times the latency between regions.
 	dialTimeout = 250 * time.Millisecond
-	// dialInterval is the time after which another attempt begins beside those
-	// under way. The kernel repeats an opening packet only after a second, long
-	// after a machine that was dark at first has started.
+	// dialInterval is the interval at which further attempts start in parallel. The
+	// kernel retransmits a SYN only after 1 s; a new attempt connects sooner to a
+	// machine that was not yet up at the first one.
 	dialInterval = 50 * time.Millisecond
 )
 
-// dialTCP connects to addr. It begins attempts at intervals and returns the first
-// connection.
+// dialTCP connects to addr. It starts attempts at an interval and returns the
+// result of the first that ends.
 func dialTCP(ctx context.Context, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -48,24 +48,25 @@
 	}
 }
 
-// dialRace is a set of attempts of which the first counts.
+// dialRace is a set of parallel attempts to connect. The first to end decides the
+// result.
 type dialRace struct {
 	addr    string
 	won     chan net.Conn
 	refused chan error
 
 	mu   sync.Mutex
-	over bool
+	done bool
 }
 
-// attempt connects once. A refusal ends the race: the machine is there, and
-// nothing listens.
+// attempt connects once. An error before ctx ends decides the race, since a machine
+// that refuses connections is up but nothing listens there.
 func (r *dialRace) attempt(ctx context.Context) {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", r.addr)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over {
+	if r.done {
 		if conn != nil {
 			conn.Close()
 		}
@@ -74,7 +75,7 @@
 	if err != nil && ctx.Err() != nil {
 		return
 	}
-	r.over = true
+	r.done = true
 	if err != nil {
 		r.refused <- err
 		return
--- a/transport/rpc/dial_test.go
+++ b/transport/rpc/dial_test.go
@@ -29,8 +29,8 @@
 	require.Error(t, err)
 }
 
-// TestDialRace lets attempts end in every order: the first result counts, and no
-// later connection stays open.
+// TestDialRace checks that the first result counts and that later attempts neither
+// replace it nor leave a connection open.
 func TestDialRace(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/transport/rpc/middle_test.go
+++ b/transport/rpc/middle_test.go
@@ -9,23 +9,23 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// middle passes bytes between two ends until it's told to lose track of the
-// connections that are open.
-type middle struct {
+// proxy forwards TCP connections. It can turn the open ones into black holes, as a NAT
+// gateway or firewall that lost its state does.
+type proxy struct {
 	l     net.Listener
 	to    string
 	group errgroup.Group
 
-	mu     sync.Mutex
-	conns  []net.Conn
-	silent map[net.Conn]bool
+	mu         sync.Mutex
+	conns      []net.Conn
+	blackholed map[net.Conn]bool
 }
 
-func newMiddle(t *testing.T, to string) *middle {
+func newProxy(t *testing.T, to string) *proxy {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	m := &middle{l: l, to: to, silent: map[net.Conn]bool{}}
+	m := &proxy{l: l, to: to, blackholed: map[net.Conn]bool{}}
 	m.group.Go(func() error { m.accept(); return nil })
 	t.Cleanup(func() {
 		l.Close()
@@ -39,17 +39,17 @@
 	return m
 }
 
-func (m *middle) addr() string { return m.l.Addr().String() }
+func (m *proxy) addr() string { return m.l.Addr().String() }
 
-func (m *middle) silence() {
+func (m *proxy) blackhole() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, c := range m.conns {
-		m.silent[c] = true
+		m.blackholed[c] = true
 	}
 }
 
-func (m *middle) accept() {
+func (m *proxy) accept() {
 	for {
 		near, err := m.l.Accept()
 		if err != nil {
@@ -63,24 +63,24 @@
 		m.mu.Lock()
 		m.conns = append(m.conns, near, far)
 		m.mu.Unlock()
-		m.group.Go(func() error { m.pass(near, far); return nil })
-		m.group.Go(func() error { m.pass(far, near); return nil })
+		m.group.Go(func() error { m.forward(near, far); return nil })
+		m.group.Go(func() error { m.forward(far, near); return nil })
 	}
 }
 
-// pass copies bytes, and swallows them once the connection is silent.
-func (m *middle) pass(from, to net.Conn) {
+// forward copies bytes, and drops them once the connection is black-holed.
+func (m *proxy) forward(from, to net.Conn) {
 	b := make([]byte, 4096)
 	for {
 		n, err := from.Read(b)
 		m.mu.Lock()
-		silent := m.silent[from]
+		drop := m.blackholed[from]
 		m.mu.Unlock()
 		if err != nil {
 			to.Close()
 			return
 		}
-		if silent {
+		if drop {
 			continue
 		}
 		if _, err := to.Write(b[:n]); err != nil {
--- a/transport/rpc/pool.go
+++ b/transport/rpc/pool.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// Pool keeps one client for each peer.
+// Pool keeps one client for each peer address. It is safe for concurrent use.
 type Pool struct {
 	creds *Credentials
 
@@ -10,12 +10,12 @@
 	clients map[string]*Client
 }
 
-// NewPool returns an empty pool.
+// NewPool returns an empty pool whose clients use creds.
 func NewPool(creds *Credentials) *Pool {
 	return &Pool{creds: creds, clients: map[string]*Client{}}
 }
 
-// Get returns the client for the peer at addr.
+// Get returns the client for the peer at addr and creates it on first use.
 func (p *Pool) Get(addr string) *Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/transport/rpc/rpc.go
+++ b/transport/rpc/rpc.go
@@ -22,18 +22,20 @@
 
 // Limits of connections.
 const (
-	// idleTimeout ends a connection on which no call has come for that long.
+	// idleTimeout closes a connection that has carried no call for that long.
 	idleTimeout = 2 * time.Minute
-	// maxMessage bounds a message in bytes, above a snapshot at the planned size.
+	// maxMessage is the size limit of a message in bytes. It leaves room for a
+	// snapshot at the planned size.
 	maxMessage = 64 << 20
-	// maxIdle bounds the idle connections kept to one peer.
+	// maxIdle is the number of idle connections that a client keeps to its peer.
 	maxIdle = 4
 )
 
 // ErrInsecure reports a listener without TLS on an address that isn't loopback.
 var ErrInsecure = errors.New("TLS is off and the address is not loopback")
 
-// Listen opens a listener for calls, with TLS unless the settings turn it off.
+// Listen opens a TCP listener for calls, with TLS unless the settings turn it off. It
+// returns ErrInsecure if creds is nil and addr is not a loopback address.
 func Listen(ctx context.Context, addr string, creds *Credentials) (net.Listener, error) {
 	if creds == nil && !loopback(addr) {
 		return nil, catkinrail.At(ErrInsecure, "listen", addr)
@@ -43,10 +45,10 @@
 	if err != nil {
 		return nil, catkinrail.At(err, "listen", addr)
 	}
-	if creds.plain() {
+	if creds.plaintext() {
 		return l, nil
 	}
-	return tls.NewListener(l, creds.server()), nil
+	return tls.NewListener(l, creds.serverConfig()), nil
 }
 
 func loopback(addr string) bool {
@@ -61,7 +63,7 @@
 	}
 }
 
-// Serve answers calls until ctx ends.
+// Serve handles calls on l until ctx ends, and then returns nil.
 func Serve(ctx context.Context, l net.Listener, h drpc.Handler) error {
 	s := drpcserver.NewWithOptions(h, drpcserver.Options{Manager: managerOptions()})
 	err := s.Serve(ctx, l)
@@ -71,9 +73,9 @@
 	return catkinrail.At(err, "serve", l.Addr().String())
 }
 
-// Client makes calls to one peer. It keeps connections between calls and drops
-// each one on which a call failed or timed out, so that a connection that went
-// silent is replaced by the next call.
+// Client makes calls to one peer. It reuses connections between calls, but closes one
+// that was closed by the peer or on which a call timed out, so that the next call
+// replaces a connection that no longer delivers anything.
 type Client struct {
 	addr  string
 	creds *Credentials
@@ -90,7 +92,7 @@
 	return c.sent.Load(), c.received.Load()
 }
 
-// countingConn counts the bytes of a connection.
+// countingConn adds the bytes of a connection to its client's counters.
 type countingConn struct {
 	net.Conn
 	client *Client
@@ -108,7 +110,9 @@
 	return n, err
 }
 
-// NewClient returns a client for the peer at addr. It connects on first use.
+// NewClient returns a client for the peer at addr, which connects on its first call.
+// With nil creds it only connects to loopback addresses; Call returns ErrInsecure for
+// others.
 func NewClient(addr string, creds *Credentials) *Client {
 	return &Client{addr: addr, creds: creds}
 }
@@ -118,8 +122,8 @@
 	return c.addr
 }
 
-// Call runs f with a connection to the peer. It ends f after timeout. Errors
-// name the step and the peer.
+// Call runs f with a connection to the peer and a context that ends after timeout.
+// Errors carry the step and the peer's address.
 func (c *Client) Call(ctx context.Context, step string, timeout time.Duration, f func(context.Context, drpc.Conn) error) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -136,7 +140,7 @@
 	return catkinrail.At(err, step, c.addr)
 }
 
-// broken reports whether a connection must not be used again.
+// broken reports whether a connection must not be reused.
 func broken(ctx context.Context, conn *drpcconn.Conn) bool {
 	if ctx.Err() != nil {
 		return true
@@ -172,8 +176,8 @@
 		return nil, err
 	}
 	nc = &countingConn{Conn: nc, client: c}
-	if !c.creds.plain() {
-		cfg, err := c.creds.client()
+	if !c.creds.plaintext() {
+		cfg, err := c.creds.clientConfig()
 		if err != nil {
 			nc.Close()
 			return nil, err
@@ -198,7 +202,7 @@
 	c.idle = append(c.idle, conn)
 }
 
-// Close closes the idle connections.
+// Close closes the idle connections. Those in use are closed when their call ends.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/transport/rpc/rpc_test.go
+++ b/transport/rpc/rpc_test.go
@@ -27,7 +27,7 @@
 
 const callTimeout = 5 * time.Second
 
-// server answers Hello calls of operators.
+// server accepts Hello calls from operators only.
 type server struct {
 	control.DRPCControlUnimplementedServer
 }
@@ -56,7 +56,7 @@
 	})
 }
 
-// authority issues certificates.
+// authority is a certificate authority with its files in a temporary directory.
 type authority struct {
 	t    *testing.T
 	dir  string
@@ -88,7 +88,8 @@
 	return path
 }
 
-// issue writes a certificate of the role and returns the settings that name it.
+// issue writes a certificate with the role, and its key, and returns the settings that
+// name their files.
 func (a *authority) issue(name string, role rpc.Role) rpc.TLSSettings {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(a.t, err)
@@ -145,14 +146,14 @@
 	}
 }
 
-func TestImpostorControl(t *testing.T) {
+func TestServerWithoutControlRole(t *testing.T) {
 	a := newAuthority(t)
 	l, err := rpc.Listen(context.Background(), "127.0.0.1:0", credentials(t, a.issue("impostor", rpc.RoleEntry)))
 	require.NoError(t, err)
 	serve(t, l)
 	c := rpc.NewClient(l.Addr().String(), credentials(t, a.issue("operator", rpc.RoleOperator)))
 	defer c.Close()
-	require.ErrorContains(t, hello(c, callTimeout), "not a control instance's")
+	require.ErrorContains(t, hello(c, callTimeout), "does not have the control role")
 }
 
 func TestCertificateReload(t *testing.T) {
@@ -187,17 +188,18 @@
 	require.ErrorIs(t, hello(c, callTimeout), rpc.ErrInsecure)
 }
 
-// TestSilentConnectionIsReplaced puts a relay between both ends that loses track
-// of the first connection: it stays open, but nothing gets through any more.
+// TestSilentConnectionIsReplaced checks that a client replaces a connection that stays
+// open but no longer delivers anything, as after a gateway between both ends lost its
+// state.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	l, err := rpc.Listen(context.Background(), "127.0.0.1:0", nil)
 	require.NoError(t, err)
 	serve(t, l)
-	mid := newMiddle(t, l.Addr().String())
-	c := rpc.NewClient(mid.addr(), nil)
+	p := newProxy(t, l.Addr().String())
+	c := rpc.NewClient(p.addr(), nil)
 	defer c.Close()
 	require.NoError(t, hello(c, callTimeout))
-	mid.silence()
+	p.blackhole()
 	require.Error(t, hello(c, 200*time.Millisecond))
 	require.NoError(t, hello(c, callTimeout), "the next call uses a new connection")
 }
--- a/transport/rpc/tls.go
+++ b/transport/rpc/tls.go
@@ -1,5 +1,5 @@
-// Package rpc carries the calls between the system's processes over TCP, with
-// TLS, deadlines, and replacement of connections that went silent.
+// Package rpc carries the calls between processes over TCP, with TLS and deadlines. It
+// replaces connections on which calls time out.
 package rpc
 
 import (
@@ -18,27 +18,27 @@
 	"catkinrail.example/catkinrail"
 )
 
-// Role is what a certificate lets its holder do. It stands in the certificate's
-// organizational units.
+// Role determines which calls the holder of a certificate may make or serve. It is one
+// of the certificate's organizational units.
 type Role string
 
-// Roles.
+// Roles of control instances, entry instances and operators.
 const (
 	RoleControl  Role = "control"
 	RoleEntry    Role = "entry"
 	RoleOperator Role = "operator"
 )
 
-// TLSSettings name the files of a process's key and certificates.
+// TLSSettings holds the file names of a process's key and certificates.
 type TLSSettings struct {
-	// CA is the file of the authority that all processes trust.
+	// CA is the file of the certificate authorities that all processes trust.
 	CA          string `yaml:"ca"`
 	Certificate string `yaml:"certificate"`
 	Key         string `yaml:"key"`
-	// Insecure turns TLS off. It is accepted with loopback addresses only.
+	// Insecure turns TLS off. Only loopback addresses are allowed then.
 	Insecure bool `yaml:"insecure"`
-	// TrustedNetwork turns TLS off on any address: the network itself must keep
-	// others out.
+	// TrustedNetwork turns TLS off for all addresses. The network itself must keep
+	// out other hosts then.
 	TrustedNetwork bool `yaml:"trusted-network"`
 }
 
@@ -62,20 +62,20 @@
 	return errs
 }
 
-// Credentials hold a process's key and certificates and read them again when
-// their files change.
+// Credentials holds a process's key and certificates and reloads them when their files
+// change. Nil credentials stand for TLSSettings.Insecure.
 type Credentials struct {
 	settings TLSSettings
 
-	mu     sync.Mutex
-	stamp  time.Time
-	cert   *tls.Certificate
-	roots  *x509.CertPool
-	failed error
+	mu        sync.Mutex
+	modTime   time.Time
+	cert      *tls.Certificate
+	roots     *x509.CertPool
+	reloadErr error
 }
 
-// NewCredentials loads the files that the settings name. It returns nil if the
-// settings turn TLS off.
+// NewCredentials loads the files that the settings name. It returns nil credentials if
+// Insecure is set, and loads no files if TrustedNetwork is.
 func NewCredentials(s TLSSettings) (*Credentials, error) {
 	if s.Insecure {
 		return nil, nil
@@ -88,52 +88,52 @@
 	return c, err
 }
 
-// plain reports whether connections go without TLS.
-func (c *Credentials) plain() bool {
+// plaintext reports whether connections are made without TLS.
+func (c *Credentials) plaintext() bool {
 	return c == nil || c.settings.TrustedNetwork
 }
 
-// load returns the current certificates. If changed files can't be read, the
-// earlier ones stay in use.
+// load returns the current certificate and the trusted roots. It reloads them first
+// if their files have changed. If that fails, the earlier ones stay in use.
 func (c *Credentials) load() (*tls.Certificate, *x509.CertPool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	stamp := c.latest()
-	if c.cert != nil && !stamp.After(c.stamp) {
+	modTime := c.latestModTime()
+	if c.cert != nil && !modTime.After(c.modTime) {
 		return c.cert, c.roots, nil
 	}
 	cert, err := tls.LoadX509KeyPair(c.settings.Certificate, c.settings.Key)
 	if err != nil {
-		return c.keep(err)
+		return c.keepCurrent(err)
 	}
 	pem, err := os.ReadFile(c.settings.CA)
 	if err != nil {
-		return c.keep(err)
+		return c.keepCurrent(err)
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(pem) {
-		return c.keep(fmt.Errorf("%s holds no certificate", c.settings.CA))
+		return c.keepCurrent(fmt.Errorf("%s holds no certificate", c.settings.CA))
 	}
-	c.cert, c.roots, c.stamp, c.failed = &cert, roots, stamp, nil
+	c.cert, c.roots, c.modTime, c.reloadErr = &cert, roots, modTime, nil
 	return c.cert, c.roots, nil
 }
 
-func (c *Credentials) keep(err error) (*tls.Certificate, *x509.CertPool, error) {
-	c.failed = err
+func (c *Credentials) keepCurrent(err error) (*tls.Certificate, *x509.CertPool, error) {
+	c.reloadErr = err
 	if c.cert == nil {
 		return nil, nil, catkinrail.At(err, "load certificate", "")
 	}
 	return c.cert, c.roots, nil
 }
 
-// Err returns why the files could not be read again, or nil.
+// Err returns why the last reload failed, or nil if it succeeded.
 func (c *Credentials) Err() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.failed
+	return c.reloadErr
 }
 
-func (c *Credentials) latest() time.Time {
+func (c *Credentials) latestModTime() time.Time {
 	var latest time.Time
 	for _, file := range []string{c.settings.CA, c.settings.Certificate, c.settings.Key} {
 		if info, err := os.Stat(file); err == nil && info.ModTime().After(latest) {
@@ -143,8 +143,9 @@
 	return latest
 }
 
-// server returns the configuration of a listener, which demands a certificate.
-func (c *Credentials) server() *tls.Config {
+// serverConfig returns the configuration of a listener, which requires a client
+// certificate from one of the trusted authorities.
+func (c *Credentials) serverConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -162,9 +163,9 @@
 	}
 }
 
-// client returns the configuration for a connection to a control instance. The
-// peer is known by its role rather than by a host name.
-func (c *Credentials) client() (*tls.Config, error) {
+// clientConfig returns the configuration of a connection to a control instance. The
+// peer is verified by the role in its certificate instead of a host name.
+func (c *Credentials) clientConfig() (*tls.Config, error) {
 	cert, roots, err := c.load()
 	if err != nil {
 		return nil, err
@@ -173,7 +174,7 @@
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{*cert},
 		RootCAs:      roots,
-		// The chain and the role are checked below; host names don't matter.
+		// VerifyConnection checks the chain and the role; host names are not used.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			return verifyPeer(state, roots)
@@ -195,16 +196,16 @@
 		return err
 	}
 	if !slices.Contains(leaf.Subject.OrganizationalUnit, string(RoleControl)) {
-		return errors.New("peer's certificate is not a control instance's")
+		return errors.New("peer's certificate does not have the control role")
 	}
 	return nil
 }
 
-// ErrRole reports a caller whose certificate doesn't allow the call.
+// ErrRole reports a call that the client's certificate doesn't allow.
 var ErrRole = errors.New("certificate does not allow this call")
 
-// RequireRole returns ErrRole unless the caller's certificate names one of the
-// roles. Without TLS, which only loopback allows, every role is granted.
+// RequireRole returns ErrRole unless the client's certificate has one of the roles.
+// Without TLS, on loopback or a trusted network, every client has every role.
 func RequireRole(ctx context.Context, roles ...Role) error {
 	tr, ok := drpcctx.Transport(ctx)
 	if !ok {
