--- a/protocol/relay/records.go
+++ b/protocol/relay/records.go
@@ -9,8 +9,8 @@
 // recordSize is the size of an encoded record in bytes.
 const recordSize = 16 + 16 + 2 + 2 + 1 + 1 + 4 + 8 + 4
 
-// MaxRecords is the number of records that fit into one Copy below the smallest
-// IPv6 MTU (1280 bytes).
+// MaxRecords is the number of records that fit into one Copy within the smallest IPv6
+// MTU (1280 bytes, of which the IPv6 and UDP headers take 48).
 const MaxRecords = (1280 - 48 - Overhead) / recordSize
 
 // Flags of an encoded record.
@@ -19,8 +19,9 @@
 	recordClosing     = 1 << 1
 )
 
-// AppendRecord appends a record to b. Its age travels in milliseconds, since
-// instances don't share a clock.
+// AppendRecord appends an encoded record to b. The time of the flow's last packet is
+// sent as an age, in milliseconds before now, since instances don't share a clock; now
+// is in nanoseconds.
 func AppendRecord(b []byte, r *catkinrail.Record, now int64) []byte {
 	b = append(b, r.Key.Src[:]...)
 	b = append(b, r.Key.Dst[:]...)
@@ -45,7 +46,8 @@
 	return uint32(min(max(age/nanosPerMilli, 0), 1<<32-1))
 }
 
-// ParseRecords reads the records of a Copy's payload.
+// ParseRecords decodes the records of a Copy's payload and computes their times from
+// now, in nanoseconds. It returns ErrTruncated if b does not hold whole records.
 func ParseRecords(b []byte, now int64) ([]catkinrail.Record, error) {
 	if len(b)%recordSize != 0 {
 		return nil, ErrTruncated
--- a/protocol/relay/relay.go
+++ b/protocol/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay encodes what entry instances tell each other: packets of moving
-// buckets on their way through the replicas, flow records, and probes.
+// Package relay encodes the messages between entry instances: packets of moving
+// buckets that are relayed along the replicas, flow records, and probes.
 package relay
 
 import (
@@ -12,21 +12,21 @@
 	"catkinrail.example/catkinrail"
 )
 
-// Kind says what a message asks for.
+// Kind is the type of a message.
 type Kind uint8
 
 // Kinds of messages.
 const (
 	// Lookup carries a packet to the bucket's first replica.
 	Lookup Kind = iota + 1
-	// Store carries an opening packet and its record along the replicas; the
-	// last one passes the packet on.
+	// Store carries an opening packet and its record along the replicas; the last
+	// one forwards the packet.
 	Store
 	// Copy carries flow records to a replica.
 	Copy
 	// CopyAck confirms a Copy.
 	CopyAck
-	// Probe asks an instance of the same zone for its lease and version.
+	// Probe asks an instance in the same zone for its lease and version.
 	Probe
 	// ProbeAnswer answers a Probe.
 	ProbeAnswer
@@ -37,16 +37,16 @@
 // earlier view and three of the later one.
 const MaxChain = 6
 
-// MaxHops is the number of times that a Lookup is passed on.
+// MaxHops is the maximum number of times that a Lookup is forwarded.
 const MaxHops = 3
 
 // Message is the header of a message between entry instances.
 type Message struct {
 	Kind Kind
-	// Hops counts how often a Lookup was passed on.
+	// Hops counts how often a Lookup was forwarded.
 	Hops uint8
-	// Flags depend on the kind: for ProbeAnswer bit 0 says that the sender
-	// holds a lease.
+	// Flags depends on the kind: FlagLeased for a ProbeAnswer, the state of the record
+	// for a Store.
 	Flags uint8
 	// Sender is the instance that sent the message.
 	Sender catkinrail.InstanceID
@@ -56,27 +56,27 @@
 	View  uint64
 	Slot  catkinrail.SlotID
 	Epoch uint64
-	// Seq pairs a Copy with its CopyAck.
+	// Seq matches a CopyAck to its Copy.
 	Seq uint32
-	// Chain lists the replicas of a Store, Length of them, and At is the index
-	// of the receiver.
+	// Chain lists the replicas of a Store. ChainLength is their number, and ChainIndex
+	// is the index of the receiver.
 	Chain  [MaxChain]catkinrail.InstanceID
 	Length uint8
 	At     uint8
 }
 
-// FlagLeased is set in a ProbeAnswer by an instance that holds a lease.
+// FlagLeased is set in a ProbeAnswer if the sender holds a lease.
 const FlagLeased uint8 = 1
 
 // Sizes in bytes.
 const (
 	tagSize    = 8
 	headerSize = 4 + 4 + 8 + 8 + 4 + 8 + 4 + 2 + 4*MaxChain
-	// Overhead is what a message adds to the packet that it carries.
+	// Overhead is the size that a message adds to its payload.
 	Overhead = tagSize + headerSize
 )
 
-// Errors of received messages.
+// Errors of Key.Parse. ParseRecords returns ErrTruncated, too.
 var (
 	ErrTruncated = errors.New("relay message is truncated")
 	ErrTag       = errors.New("relay message has a wrong authentication tag")
@@ -84,7 +84,7 @@
 	ErrChain     = errors.New("relay message has a bad chain")
 )
 
-// Key authenticates messages with SipHash-2-4.
+// Key authenticates messages with a SipHash-2-4 tag. They are not encrypted.
 type Key struct {
 	k0, k1 uint64
 }
@@ -92,7 +92,7 @@
 // KeySize is the size of a key in bytes.
 const KeySize = 16
 
-// NewKey returns the key held in b, which must be KeySize bytes long.
+// NewKey returns the key in b. It fails unless b is KeySize bytes long.
 func NewKey(b []byte) (Key, error) {
 	if len(b) != KeySize {
 		return Key{}, fmt.Errorf("relay key has %d bytes, not %d", len(b), KeySize)
@@ -100,7 +100,7 @@
 	return Key{k0: binary.LittleEndian.Uint64(b), k1: binary.LittleEndian.Uint64(b[8:])}, nil
 }
 
-// Append appends the message and its payload to b.
+// Append appends the encoded message, with its tag and payload, to b.
 func (k Key) Append(b []byte, m *Message, payload []byte) []byte {
 	start := len(b)
 	b = append(b, 0, 0, 0, 0, 0, 0, 0, 0)
@@ -121,7 +121,8 @@
 	return b
 }
 
-// Parse reads the message b into m and returns its payload, a part of b.
+// Parse verifies the message b, decodes its header into m and returns its payload,
+// which is a slice of b.
 func (k Key) Parse(b []byte, m *Message) ([]byte, error) {
 	if len(b) < Overhead {
 		return nil, ErrTruncated
--- a/protocol/relay/relay_test.go
+++ b/protocol/relay/relay_test.go
@@ -43,7 +43,7 @@
 	})
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejectsInvalidMessages(t *testing.T) {
 	k := testKey(t, 1)
 	tests := []struct {
 		name string
@@ -51,10 +51,10 @@
 		want error
 	}{
 		{"empty", nil, relay.ErrTruncated},
-		{"another key", testKey(t, 2).Append(nil, &relay.Message{Kind: relay.Lookup}, nil), relay.ErrTag},
+		{"wrong key", testKey(t, 2).Append(nil, &relay.Message{Kind: relay.Lookup}, nil), relay.ErrTag},
 		{"unknown kind", k.Append(nil, &relay.Message{Kind: 99}, nil), relay.ErrKind},
 		{"long chain", k.Append(nil, &relay.Message{Kind: relay.Store, Length: 7}, nil), relay.ErrChain},
-		{"beyond the chain", k.Append(nil, &relay.Message{Kind: relay.Store, Length: 2, At: 3}, nil), relay.ErrChain},
+		{"index beyond the chain", k.Append(nil, &relay.Message{Kind: relay.Store, Length: 2, At: 3}, nil), relay.ErrChain},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
