--- a/protocol/ip/build.go
+++ b/protocol/ip/build.go
@@ -6,13 +6,13 @@
 	"catkinrail.example/catkinrail"
 )
 
-// defaultTTL is the time to live of packets that are built here.
+// defaultTTL is the time to live, in hops, of the packets that Append builds.
 const defaultTTL = 64
 
-// tcpWindow is the receive window that built TCP segments announce.
+// tcpWindow is the receive window, in bytes, in the TCP segments that Append builds.
 const tcpWindow = 0xffff
 
-// Segment describes a packet to build.
+// Segment describes a TCP segment or UDP datagram to build.
 type Segment struct {
 	Key      catkinrail.FlowKey
 	Flags    uint8
@@ -20,7 +20,7 @@
 	Payload  []byte
 }
 
-// Append appends the IP packet of the segment to b.
+// Append appends the IP packet with the segment, including its checksums, to b.
 func Append(b []byte, s *Segment) []byte {
 	size := udpSize
 	if s.Key.Proto == catkinrail.ProtoTCP {
@@ -48,7 +48,8 @@
 	return b
 }
 
-// appendIP appends the IP header and returns the sum of the pseudo header.
+// appendIP appends the IP header for a payload of the given size in bytes. It also
+// returns the sum of the pseudo header, which starts the transport checksum.
 func appendIP(b []byte, k *catkinrail.FlowKey, size int) ([]byte, uint32) {
 	sum := uint32(k.Proto) + uint32(size)
 	if !isIPv4(&k.Dst) {
@@ -57,7 +58,7 @@
 		b = append(b, k.Proto, defaultTTL)
 		b = append(b, k.Src[:]...)
 		b = append(b, k.Dst[:]...)
-		return b, sum + partial(k.Src[:]) + partial(k.Dst[:])
+		return b, sum + partialSum(k.Src[:]) + partialSum(k.Dst[:])
 	}
 	start := len(b)
 	b = append(b, 4<<4|minIPv4/4, 0)
@@ -66,10 +67,10 @@
 	b = append(b, k.Src[12:]...)
 	b = append(b, k.Dst[12:]...)
 	binary.BigEndian.PutUint16(b[start+10:], checksum(b[start:], 0))
-	return b, sum + partial(k.Src[12:]) + partial(k.Dst[12:])
+	return b, sum + partialSum(k.Src[12:]) + partialSum(k.Dst[12:])
 }
 
-func partial(b []byte) uint32 {
+func partialSum(b []byte) uint32 {
 	sum := uint32(0)
 	for ; len(b) >= 2; b = b[2:] {
 		sum += uint32(binary.BigEndian.Uint16(b))
--- a/protocol/ip/ip.go
+++ b/protocol/ip/ip.go
@@ -1,5 +1,5 @@
-// Package ip reads the headers of IP packets far enough to identify their flow,
-// and builds the few packets that an entry instance sends in its own name.
+// Package ip parses the headers of IP packets far enough to identify their flow, and
+// builds the few packets that an entry instance originates itself.
 package ip
 
 import (
@@ -17,7 +17,7 @@
 	icmpSize = 8
 )
 
-// MaxPacket is the largest packet, in bytes, that is accepted.
+// MaxPacket is the size in bytes of the largest packet that Parse accepts.
 const MaxPacket = 9216
 
 // TCP flags.
@@ -28,10 +28,10 @@
 	FlagACK uint8 = 1 << 4
 )
 
-// Fault says why a packet was not accepted.
+// Fault is the reason why Parse rejected a packet, or FaultNone.
 type Fault uint8
 
-// Faults of a packet.
+// Reasons to reject a packet.
 const (
 	FaultNone Fault = iota
 	FaultTruncated
@@ -49,7 +49,7 @@
 	"none", "truncated", "oversized", "version", "length", "checksum", "fragment", "protocol", "flags",
 }
 
-// String returns the name under which the fault is counted.
+// String returns the fault's name in metrics.
 func (f Fault) String() string {
 	if f >= numFaults {
 		return "unknown"
@@ -57,7 +57,7 @@
 	return faultNames[f]
 }
 
-// Faults lists all faults.
+// Faults returns all faults, including FaultNone.
 func Faults() []Fault {
 	list := make([]Fault, numFaults)
 	for i := range list {
@@ -66,22 +66,24 @@
 	return list
 }
 
-// Header is what routing needs to know about a packet.
+// Header holds the fields of a packet that routing uses.
 type Header struct {
 	Key   catkinrail.FlowKey
 	Flags uint8
-	// Quoted is set for an ICMP error: Key is then the flow that it quotes.
+	// Quoted is set for an ICMP error. Key is then the flow of the packet that the
+	// error quotes.
 	Quoted bool
 	// Payload is the offset of the transport payload in the packet.
 	Payload int
 }
 
-// Opening reports whether the packet asks for a new TCP flow.
+// Opening reports whether the packet opens a TCP flow.
 func (h *Header) Opening() bool {
 	return h.Key.Proto == catkinrail.ProtoTCP && h.Flags&(FlagSYN|FlagACK|FlagRST) == FlagSYN
 }
 
-// Parse reads the packet b into h. It allocates nothing and never reads past b.
+// Parse parses the headers of the packet b into h and returns FaultNone if it accepts
+// the packet. It does not allocate memory and never reads past b.
 func Parse(b []byte, h *Header) Fault {
 	h.Flags = 0
 	h.Quoted = false
@@ -111,7 +113,7 @@
 	if checksum(b[:size], 0) != 0 {
 		return FaultChecksum
 	}
-	// More fragments follow, or this one isn't the first.
+	// The flag for more fragments or the fragment offset is set.
 	if binary.BigEndian.Uint16(b[6:])&0x3fff != 0 {
 		return FaultFragment
 	}
@@ -165,7 +167,7 @@
 	if h.Flags&(FlagSYN|FlagFIN) == FlagSYN|FlagFIN {
 		return FaultFlags
 	}
-	ports(b, h)
+	parsePorts(b, h)
 	h.Payload = offset + size
 	return FaultNone
 }
@@ -177,19 +179,19 @@
 	if int(binary.BigEndian.Uint16(b[4:])) != len(b) {
 		return FaultLength
 	}
-	ports(b, h)
+	parsePorts(b, h)
 	h.Payload = offset + udpSize
 	return FaultNone
 }
 
-func ports(b []byte, h *Header) {
+func parsePorts(b []byte, h *Header) {
 	h.Key.SrcPort = binary.BigEndian.Uint16(b)
 	h.Key.DstPort = binary.BigEndian.Uint16(b[2:])
 }
 
-// parseICMP accepts errors only and reads the flow that they quote. The quoted
-// packet travelled from the backend server to the caller, so its addresses are
-// exchanged to name the flow as callers' packets do.
+// parseICMP accepts only errors and parses the packet that they quote. That packet
+// went from the backend server to the caller, so source and destination are swapped to
+// get the same flow key as from the caller's packets.
 func parseICMP(b []byte, h *Header, offset int) Fault {
 	if len(b) < icmpSize {
 		return FaultTruncated
--- a/protocol/ip/ip_test.go
+++ b/protocol/ip/ip_test.go
@@ -45,7 +45,7 @@
 		{"tcp", packet(catkinrail.ProtoTCP, ip.FlagSYN), ip.FaultNone},
 		{"udp", packet(catkinrail.ProtoUDP, 0), ip.FaultNone},
 		{"empty", nil, ip.FaultTruncated},
-		{"cut short", change(func(b []byte) []byte { return b[:30] }), ip.FaultLength},
+		{"truncated", change(func(b []byte) []byte { return b[:30] }), ip.FaultLength},
 		{"too large", make([]byte, ip.MaxPacket+1), ip.FaultOversized},
 		{"version 5", change(func(b []byte) []byte { b[0] = 0x55; return b }), ip.FaultVersion},
 		{"header length", change(func(b []byte) []byte { b[0] = 0x4f; return b[:40] }), ip.FaultLength},
@@ -53,7 +53,7 @@
 		{"checksum", change(func(b []byte) []byte { b[8]--; return b }), ip.FaultChecksum},
 		{"fragment", change(func(b []byte) []byte { b[6] = 0x20; return fixSum(b) }), ip.FaultFragment},
 		{"later fragment", change(func(b []byte) []byte { b[7] = 9; return fixSum(b) }), ip.FaultFragment},
-		{"foreign protocol", change(func(b []byte) []byte { b[9] = 47; return fixSum(b) }), ip.FaultProtocol},
+		{"unsupported protocol", change(func(b []byte) []byte { b[9] = 47; return fixSum(b) }), ip.FaultProtocol},
 		{"tcp header length", change(func(b []byte) []byte { b[32] = 0xf0; return b }), ip.FaultLength},
 		{"syn and fin", packet(catkinrail.ProtoTCP, ip.FlagSYN|ip.FlagFIN), ip.FaultFlags},
 		{"udp length", func() []byte { b := packet(catkinrail.ProtoUDP, 0); b[25]++; return b }(), ip.FaultLength},
@@ -88,14 +88,15 @@
 	})
 }
 
-// TestQuoted checks that an ICMP error names the flow as callers' packets do.
+// TestQuoted checks that an ICMP error yields the same flow key as the caller's
+// packets.
 func TestQuoted(t *testing.T) {
 	caller := key(catkinrail.ProtoTCP, "10.0.0.1", "192.0.2.1")
 	answer := caller
 	answer.Src, answer.Dst = caller.Dst, caller.Src
 	answer.SrcPort, answer.DstPort = caller.DstPort, caller.SrcPort
 	quoted := ip.Append(nil, &ip.Segment{Key: answer, Flags: ip.FlagACK})
-	// An IPv4 header is borrowed from a UDP packet; UDP's 8 bytes become ICMP's.
+	// Turn a UDP packet into an ICMP one: both have headers of 8 bytes.
 	b := ip.Append(nil, &ip.Segment{Key: key(catkinrail.ProtoUDP, "10.9.9.9", "192.0.2.1"), Payload: quoted})
 	b[9] = catkinrail.ProtoICMP
 	sum := uint32(b[10])<<8 + uint32(b[11]) + uint32(catkinrail.ProtoUDP) - uint32(catkinrail.ProtoICMP)
