--- a/protocol/metricspage/page.go
+++ b/protocol/metricspage/page.go
@@ -1,5 +1,5 @@
-// Package metricspage serves a program's metrics, in the text format that
-// scrapers read, and its health and readiness.
+// Package metricspage serves a program's metrics, in the Prometheus text format, and
+// its health and readiness over HTTP.
 package metricspage
 
 import (
@@ -18,25 +18,26 @@
 	"catkinrail.example/catkinrail"
 )
 
-// Limits of the server.
+// Timeouts of the HTTP server.
 const (
 	headerTimeout   = 5 * time.Second
 	shutdownTimeout = time.Second
 )
 
-// Handler returns the pages: /metrics, /healthz, which tells that the process
-// runs, and /readyz, which tells whether it does its job.
+// Handler serves /metrics, with names that start with prefix; /healthz, which replies
+// with 200 while the process runs; and /readyz, which replies with 503 and the error
+// while ready returns one.
 func Handler(prefix string, reg metrics.Registry, ready func() error) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
-		// Reading the readiness brings the gauges up to date.
+		// ready must be called first, since it also updates the gauges in reg.
 		up := 1
 		if err := ready(); err != nil {
 			up = 0
 		}
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 		fmt.Fprintf(w, "%s_ready %d\n", prefix, up)
-		write(w, prefix, reg)
+		writeMetrics(w, prefix, reg)
 	})
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintln(w, "ok")
@@ -51,7 +52,7 @@
 	return mux
 }
 
-func write(w io.Writer, prefix string, reg metrics.Registry) {
+func writeMetrics(w io.Writer, prefix string, reg metrics.Registry) {
 	var lines []string
 	reg.Each(func(name string, v any) {
 		full := prefix + "_" + strings.ReplaceAll(name, "-", "_")
@@ -70,10 +71,11 @@
 	}
 }
 
-// quantiles are those that a histogram's lines give.
+// quantiles lists the quantiles in a histogram's lines.
 var quantiles = []float64{0.5, 0.9, 0.99, 0.999}
 
-// summary returns the lines of a histogram of times, in seconds.
+// summary returns the lines of a histogram of durations, which are recorded in
+// nanoseconds and shown in seconds.
 func summary(name string, h metrics.Histogram) []string {
 	lines := []string{
 		fmt.Sprintf("%s_seconds_count %d", name, h.Count()),
@@ -85,24 +87,26 @@
 	return lines
 }
 
-// sampleSize is the number of times that a histogram keeps, 8 KB of them.
+// sampleSize is the number of values that a histogram keeps, which take 8 KB.
 const sampleSize = 1028
 
-// sampleBias makes a histogram follow about the last five minutes, as the
-// library suggests.
-const sampleBias = 0.015
+// sampleAlpha weights a histogram towards about the last five minutes, as go-metrics
+// suggests.
+const sampleAlpha = 0.015
 
-// Histogram returns a histogram of times that is registered with reg.
+// Histogram returns the histogram of durations, in nanoseconds, that is registered
+// with reg under the name. It creates one if there is none.
 func Histogram(name string, reg metrics.Registry) metrics.Histogram {
-	return metrics.GetOrRegisterHistogram(name, reg, metrics.NewExpDecaySample(sampleSize, sampleBias))
+	return metrics.GetOrRegisterHistogram(name, reg, metrics.NewExpDecaySample(sampleSize, sampleAlpha))
 }
 
-// Serve serves the pages until ctx ends.
+// Serve serves Handler's pages at addr until ctx ends.
 func Serve(ctx context.Context, addr, prefix string, reg metrics.Registry, ready func() error) error {
 	return ServeHTTP(ctx, addr, Handler(prefix, reg, ready))
 }
 
-// ServeHTTP serves h until ctx ends.
+// ServeHTTP serves h at addr until ctx ends, and then returns nil. Requests in progress
+// get up to shutdownTimeout to complete in the background.
 func ServeHTTP(ctx context.Context, addr string, h http.Handler) error {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", addr)
