--- a/coordination/route/answer.go
+++ b/coordination/route/answer.go
@@ -182,8 +182,8 @@
 		if id == self {
 			continue
 		}
-		m.Chain[m.Length] = id
-		m.Length++
+		m.Chain[m.ChainLength] = id
+		m.ChainLength++
 	}
 	return e.next(&m, r, rec)
 }
@@ -192,8 +192,8 @@
 // removed since and is passed over, unless the sender's configuration is newer:
 // then it has joined, must hold the record, and the caller has to try again.
 func (e *Engine) next(m *relay.Message, r *request, rec *catkinrail.Record) Verdict {
-	for ; m.At < m.Length; m.At++ {
-		p, ok := r.t.peers[m.Chain[m.At]]
+	for ; m.ChainIndex < m.ChainLength; m.ChainIndex++ {
+		p, ok := r.t.peers[m.Chain[m.ChainIndex]]
 		if !ok && m.Version > r.t.version {
 			return r.drop(ReasonNoPeer)
 		}
@@ -230,7 +230,7 @@
 	if !e.Leased(r.now) && !e.zone.isCut() {
 		return r.drop(ReasonNoLease)
 	}
-	if m.At >= m.Length || m.Chain[m.At] != e.Self() {
+	if m.ChainIndex >= m.ChainLength || m.Chain[m.ChainIndex] != e.Self() {
 		return r.drop(ReasonNoPeer)
 	}
 	rec := catkinrail.Record{Key: r.h.Key, Slot: m.Slot, Epoch: m.Epoch, Seen: r.now}
@@ -243,6 +243,6 @@
 	if e.zone.isCut() {
 		e.noteException(r.bucketID())
 	}
-	m.At++
+	m.ChainIndex++
 	return e.next(m, r, &held)
 }
