--- a/control/cmd/catkinrail-control/daemon.go
+++ b/control/cmd/catkinrail-control/daemon.go
@@ -186,7 +186,7 @@
 	}
 	dir := gossip.New(gossip.Config{
 		Self: d.self(), Clock: clk, Log: d.log, Creds: d.creds, Group: g, Seeds: d.seeds,
-		Silent: d.cfg.SilentAfter, Members: func() *quorum.Members { return c.Snapshot().Members }, Dir: d.dir,
+		SilentAfter: d.cfg.SilentAfter, Members: func() *quorum.Members { return c.Snapshot().Members }, Dir: d.dir,
 	})
 	streams := follow.New(c, dir, clk, d.log)
 	mux := drpcmux.New()
@@ -216,7 +216,7 @@
 
 // join asks for a vote whenever this instance has none, and when it hears of no
 // leader: it may have been removed while it was away.
-func (d *daemon) join(ctx context.Context, c *core.Core, v *voter.Voters) error {
+func (d *daemon) join(ctx context.Context, c *core.Core, v *voter.Transport) error {
 	req := &message.JoinRequest{Node: d.identity.Node, Peer: d.self()}
 	ticker := time.NewTicker(joinInterval)
 	defer ticker.Stop()
@@ -234,7 +234,7 @@
 
 // askToJoin asks the leader, if one is known, or else one instance after the
 // other.
-func (d *daemon) askToJoin(ctx context.Context, c *core.Core, v *voter.Voters, req *message.JoinRequest, attempt int) {
+func (d *daemon) askToJoin(ctx context.Context, c *core.Core, v *voter.Transport, req *message.JoinRequest, attempt int) {
 	snap := c.Snapshot()
 	if snap.Leader == snap.Node {
 		if _, err := c.Join(ctx, req); err != nil {
@@ -251,7 +251,7 @@
 	addr := known[attempt%len(known)]
 	if leader, ok := snap.Members.Nodes[snap.Leader]; ok && attempt%2 == 0 {
 		addr = leader.Addr
-	} else if named := v.Leader(); named != "" && attempt%2 == 0 {
+	} else if named := v.LeaderAddr(); named != "" && attempt%2 == 0 {
 		addr = named
 	}
 	if addr == d.cfg.Address {
--- a/control/core/core.go
+++ b/control/core/core.go
@@ -291,7 +291,7 @@
 func (c *Core) apply(e *quorum.Entry) error {
 	if e.Kind == quorum.EntryData {
 		var change cluster.Change
-		if err := cluster.DecodePacked(e.Data, &change); err != nil {
+		if err := cluster.DecodeCompressed(e.Data, &change); err != nil {
 			return err
 		}
 		if err := c.state.Apply(change); err != nil {
@@ -340,8 +340,8 @@
 
 // compact replaces the applied part of a long log by a snapshot.
 func (c *Core) compact() error {
-	applied := c.node.Applied()
-	if !c.cfg.Journal.Full() && c.node.LastIndex()-c.firstIndex() < maxLogEntries {
+	applied := c.node.AppliedIndex()
+	if !c.cfg.Journal.NeedsSnapshot() && c.node.LastIndex()-c.firstIndex() < maxLogEntries {
 		return nil
 	}
 	if applied == c.firstIndex() {
@@ -352,7 +352,7 @@
 		return err
 	}
 	s := c.node.Snapshot(data)
-	if err := c.cfg.Journal.SaveSnapshot(s, c.node.After(applied)); err != nil {
+	if err := c.cfg.Journal.SaveSnapshot(s, c.node.EntriesAfter(applied)); err != nil {
 		return err
 	}
 	c.node.Compact(s)
@@ -360,7 +360,7 @@
 }
 
 func (c *Core) firstIndex() uint64 {
-	return c.node.FirstIndex()
+	return c.node.SnapshotIndex()
 }
 
 // runLeader does the leader's work: it advances moves, removes silent members and
@@ -410,7 +410,7 @@
 		p.finish(Result{Answer: answer, Err: err})
 		return
 	}
-	data, err := cluster.EncodePacked(&cluster.Change{Version: c.state.Version + 1, Events: events})
+	data, err := cluster.EncodeCompressed(&cluster.Change{Version: c.state.Version + 1, Events: events})
 	if err != nil {
 		p.finish(Result{Err: err})
 		return
--- a/control/core/core_test.go
+++ b/control/core/core_test.go
@@ -190,7 +190,7 @@
 		tc.down[id] = id != old.cfg.ID
 	}
 	inFlight := tc.beginCommand(old, create("r2", "drawvault", "192.0.2.2:443"))
-	tc.run(quorum.DefaultTiming.Election)
+	tc.run(quorum.DefaultTiming.ElectionTimeout)
 	_, err := old.heartbeat(&message.Heartbeat{ID: 1})
 	require.ErrorIs(t, err, ErrNotLeader)
 	tc.run(2 * time.Second)
@@ -251,7 +251,7 @@
 	data, err := cluster.Encode(lead.state)
 	require.NoError(t, err)
 	s := lead.node.Snapshot(data)
-	require.NoError(t, lead.cfg.Journal.SaveSnapshot(s, lead.node.After(s.Index)))
+	require.NoError(t, lead.cfg.Journal.SaveSnapshot(s, lead.node.EntriesAfter(s.Index)))
 	lead.node.Compact(s)
 	tc.start(behind)
 	tc.run(5 * time.Second)
--- a/control/core/document.go
+++ b/control/core/document.go
@@ -30,13 +30,13 @@
 	// Synced must not run ahead of the snapshot, so its time is stored last.
 	defer c.synced.Store(c.node.Synced())
 	old := c.published.Load()
-	if old != nil && old.Applied == c.node.Applied() && old.Leader == c.node.LeaderID() &&
+	if old != nil && old.Applied == c.node.AppliedIndex() && old.Leader == c.node.LeaderID() &&
 		old.Term == c.node.Term() && c.publishedMembersIndex == c.node.MembersIndex() {
 		return
 	}
 	c.publishedMembersIndex = c.node.MembersIndex()
 	s := &Snapshot{
-		Document: c.state.Document, Applied: c.node.Applied(), Members: c.node.Members(),
+		Document: c.state.Document, Applied: c.node.AppliedIndex(), Members: c.node.Members(),
 		Node: c.node.ID(), Leader: c.node.LeaderID(), Term: c.node.Term(),
 	}
 	c.published.Store(s)
@@ -167,10 +167,10 @@
 	}
 	m := c.node.Members()
 	for _, id := range cluster.SortedKeys(m.Nodes) {
-		if id == c.node.ID() || c.node.Unheard(id) < int64(c.cfg.EvictAfter) {
+		if id == c.node.ID() || c.node.SinceLastContact(id) < int64(c.cfg.EvictAfter) {
 			continue
 		}
-		silent := c.node.Unheard(id)
+		silent := c.node.SinceLastContact(id)
 		next := m.Clone()
 		delete(next.Nodes, id)
 		delete(next.Learners, id)
--- a/control/core/document_test.go
+++ b/control/core/document_test.go
@@ -16,7 +16,7 @@
 )
 
 // noLease is the default timing without leases.
-var noLease = quorum.Timing{Heartbeat: quorum.DefaultTiming.Heartbeat, Election: quorum.DefaultTiming.Election, NoLease: true}
+var noLease = quorum.Timing{HeartbeatInterval: quorum.DefaultTiming.HeartbeatInterval, ElectionTimeout: quorum.DefaultTiming.ElectionTimeout, NoLease: true}
 
 func doc(version uint64, source string) *catkinrail.Document {
 	return &catkinrail.Document{Version: version, Source: []byte(source)}
@@ -251,7 +251,7 @@
 	req := &message.JoinRequest{Node: 9, Peer: quorum.Peer{Name: "new", Addr: "addr-9"}}
 	reply := other.handleJoin(req)
 	require.NoError(t, reply.err)
-	require.True(t, reply.Wait)
+	require.True(t, reply.RetryLater)
 	require.Equal(t, lead.cfg.ID, reply.Leader)
 	require.Equal(t, fmt.Sprint("addr-", lead.cfg.ID), reply.Members.Nodes[reply.Leader].Addr)
 	require.NotContains(t, lead.Snapshot().Members.Nodes, quorum.NodeID(9))
@@ -270,11 +270,11 @@
 
 func TestPackedChangeRoundTrip(t *testing.T) {
 	big := doc(1, string(make([]byte, 100_000)))
-	data, err := cluster.EncodePacked(&cluster.Change{Version: 1, Events: []cluster.Event{{DocumentPut: big}}})
+	data, err := cluster.EncodeCompressed(&cluster.Change{Version: 1, Events: []cluster.Event{{DocumentPut: big}}})
 	require.NoError(t, err)
 	require.Less(t, len(data), 10_000)
 	var change cluster.Change
-	require.NoError(t, cluster.DecodePacked(data, &change))
+	require.NoError(t, cluster.DecodeCompressed(data, &change))
 	require.Equal(t, big, change.Events[0].DocumentPut)
-	require.Error(t, cluster.DecodePacked(data[:len(data)/2], &change))
+	require.Error(t, cluster.DecodeCompressed(data[:len(data)/2], &change))
 }
--- a/control/core/leader.go
+++ b/control/core/leader.go
@@ -54,7 +54,7 @@
 	leaseEnd int64
 	// currentAt is the time at which the instance last had the latest version.
 	currentAt int64
-	member    plan.Member
+	member    plan.InstanceStatus
 	leaving   bool
 }
 
@@ -108,7 +108,7 @@
 	}
 	l.compensateStall(c, now)
 	l.plannedAt = now
-	members := make(map[catkinrail.InstanceID]plan.Member, len(l.instances))
+	members := make(map[catkinrail.InstanceID]plan.InstanceStatus, len(l.instances))
 	for id, e := range l.instances {
 		if c.state.Instances[id] == nil {
 			delete(l.instances, id)
@@ -171,7 +171,7 @@
 	if len(expired) > 0 {
 		return plan.Expire(c.state, expired)
 	}
-	return plan.Silence(c.state, silent)
+	return plan.EjectSilent(c.state, silent)
 }
 
 // Heartbeat handles a heartbeat of an entry instance: it renews the lease and
@@ -202,7 +202,7 @@
 		return reply, nil
 	}
 	c.leader.recordHeartbeat(c, hb, now)
-	reply.Changes, reply.State = c.changesSince(hb.Have)
+	reply.Changes, reply.State = c.changesSince(hb.StateVersion)
 	return reply, nil
 }
 
@@ -215,8 +215,8 @@
 		l.instances[hb.ID] = e
 	}
 	e.leaseEnd = max(e.leaseEnd, now+l.maxLease(c))
-	e.member = plan.Member{Version: hb.Have, Synced: hb.Synced, Busy: hb.Busy}
-	if hb.Have >= c.state.Version {
+	e.member = plan.InstanceStatus{Version: hb.StateVersion, Synced: hb.Synced, Busy: hb.Busy}
+	if hb.StateVersion >= c.state.Version {
 		e.currentAt = now
 	}
 	if hb.Leaving && !e.leaving {
@@ -224,10 +224,10 @@
 		c.enqueue(func(s *cluster.State) []cluster.Event { return plan.Leave(s, hb.ID) })
 	}
 	if hb.Left {
-		c.enqueue(func(s *cluster.State) []cluster.Event { return plan.Left(s, hb.ID) })
+		c.enqueue(func(s *cluster.State) []cluster.Event { return plan.CompleteLeave(s, hb.ID) })
 	}
 	for id, buckets := range hb.Exceptions {
-		c.enqueue(func(s *cluster.State) []cluster.Event { return plan.Exceptions(s, id, buckets) })
+		c.enqueue(func(s *cluster.State) []cluster.Event { return plan.PrepareExceptions(s, id, buckets) })
 	}
 	for i := range hb.Announcements {
 		l.recordAnnouncement(c, &hb.Announcements[i], now)
@@ -389,14 +389,14 @@
 func (c *Core) status() *Status {
 	now := c.now()
 	s := &Status{
-		Term: c.node.Term(), Commit: c.node.Commit(), Node: c.node.ID(), Members: c.node.Members(),
+		Term: c.node.Term(), Commit: c.node.CommitIndex(), Node: c.node.ID(), Members: c.node.Members(),
 		Match: map[quorum.NodeID]uint64{}, Leading: c.leader.active,
 		Entries: map[catkinrail.InstanceID]EntryStatus{},
 		Burn:    map[catkinrail.ServiceID][]burn.Report{},
 	}
 	s.Leader = s.Members.Nodes[c.node.LeaderID()].Name
 	for id := range s.Members.Nodes {
-		s.Match[id] = c.node.Match(id)
+		s.Match[id] = c.node.MatchIndex(id)
 	}
 	s.Match[c.node.ID()] = c.node.LastIndex()
 	for id, e := range c.leader.instances {
--- a/control/core/members.go
+++ b/control/core/members.go
@@ -18,10 +18,10 @@
 const maxPromotionLag = 16
 
 // Greeting returns the identity of this instance and the index of its last entry.
-func (c *Core) Greeting(ctx context.Context) (*message.Greeting, error) {
-	g := &message.Greeting{}
+func (c *Core) Greeting(ctx context.Context) (*message.HelloReply, error) {
+	g := &message.HelloReply{}
 	err := c.do(ctx, func() {
-		*g = message.Greeting{Node: c.node.ID(), Name: c.cfg.Name, LastIndex: c.node.LastIndex()}
+		*g = message.HelloReply{Node: c.node.ID(), Name: c.cfg.Name, LastIndex: c.node.LastIndex()}
 	})
 	return g, err
 }
@@ -57,11 +57,11 @@
 }
 
 func (c *Core) handleJoin(req *message.JoinRequest) joinResult {
-	a := joinResult{JoinReply: message.JoinReply{Wait: true, Leader: c.node.LeaderID()}}
+	a := joinResult{JoinReply: message.JoinReply{RetryLater: true, Leader: c.node.LeaderID()}}
 	if c.leader.active {
 		a.err = c.joinStep(req)
-		a.Wait = errors.Is(a.err, ErrRetryLater)
-		if a.Wait {
+		a.RetryLater = errors.Is(a.err, ErrRetryLater)
+		if a.RetryLater {
 			a.err = nil
 		}
 	}
@@ -85,13 +85,13 @@
 		next.Learners[req.Node] = true
 	case memberToReplace(m, req) != 0:
 		old := memberToReplace(m, req)
-		if m.Voter(old) && c.node.Match(req.Node)+maxPromotionLag < c.node.LastIndex() {
+		if m.Voter(old) && c.node.MatchIndex(req.Node)+maxPromotionLag < c.node.LastIndex() {
 			return ErrRetryLater
 		}
 		delete(next.Nodes, old)
 		delete(next.Learners, old)
 	default:
-		if c.node.Match(req.Node)+maxPromotionLag < c.node.LastIndex() {
+		if c.node.MatchIndex(req.Node)+maxPromotionLag < c.node.LastIndex() {
 			return ErrRetryLater
 		}
 		delete(next.Learners, req.Node)
--- a/control/document/store.go
+++ b/control/document/store.go
@@ -89,7 +89,7 @@
 		return errNoLeader
 	}
 	// The body is encoded as changes in the log are.
-	body, err := cluster.EncodePacked(&cluster.Change{Events: []cluster.Event{{DocumentPut: d}}})
+	body, err := cluster.EncodeCompressed(&cluster.Change{Events: []cluster.Event{{DocumentPut: d}}})
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 	if !ok {
 		return 0, errNoLeader
 	}
-	var mark message.ReadMark
+	var mark message.ReadIndexReply
 	err := s.clients.Get(leader.Addr).Call(ctx, "read index", attemptTimeout, func(ctx context.Context, conn drpc.Conn) error {
 		f, err := control.NewDRPCControlClient(conn).ReadIndex(ctx, &control.Frame{})
 		if err != nil {
--- a/control/entry/server.go
+++ b/control/entry/server.go
@@ -79,7 +79,7 @@
 		events, id, err = plan.Register(state, &reg)
 		return events, err
 	})
-	return reply(&message.Registered{ID: id}, coded(err))
+	return reply(&message.RegisterReply{ID: id}, coded(err))
 }
 
 // Heartbeat implements control.DRPCControlServer.
@@ -104,7 +104,7 @@
 		return nil, ctx.Err()
 	}
 	// What was reported is noted already.
-	again := message.Heartbeat{ID: hb.ID, Term: hb.Term, Have: hb.Have, Synced: hb.Synced, Busy: hb.Busy}
+	again := message.Heartbeat{ID: hb.ID, Term: hb.Term, StateVersion: hb.StateVersion, Synced: hb.Synced, Busy: hb.Busy}
 	r, _, err = s.core.Heartbeat(ctx, &again)
 	return reply(r, coded(err))
 }
@@ -115,7 +115,7 @@
 		return nil, drpcerr.WithCode(err, uint64(api.Code_FORBIDDEN))
 	}
 	var change cluster.Change
-	if err := cluster.DecodePacked(f.GetBody(), &change); err != nil {
+	if err := cluster.DecodeCompressed(f.GetBody(), &change); err != nil {
 		return nil, drpcerr.WithCode(err, uint64(api.Code_INVALID))
 	}
 	if len(change.Events) != 1 || change.Events[0].DocumentPut == nil {
@@ -133,7 +133,7 @@
 		return nil, drpcerr.WithCode(err, uint64(api.Code_FORBIDDEN))
 	}
 	index, err := s.core.ReadIndex(ctx)
-	return reply(&message.ReadMark{Index: index}, coded(err))
+	return reply(&message.ReadIndexReply{Index: index}, coded(err))
 }
 
 // Gossip implements control.DRPCControlServer.
@@ -142,7 +142,7 @@
 	if err := open(ctx, f, &g, rpc.RoleControl); err != nil {
 		return nil, err
 	}
-	body, err := cluster.EncodePacked(s.dir.Gossip(&g))
+	body, err := cluster.EncodeCompressed(s.dir.Gossip(&g))
 	if err != nil {
 		return nil, err
 	}
@@ -165,7 +165,7 @@
 	if err := rpc.RequireRole(ctx, roles...); err != nil {
 		return drpcerr.WithCode(err, uint64(api.Code_FORBIDDEN))
 	}
-	if err := cluster.DecodePacked(f.GetBody(), v); err != nil {
+	if err := cluster.DecodeCompressed(f.GetBody(), v); err != nil {
 		return drpcerr.WithCode(err, uint64(api.Code_INVALID))
 	}
 	return nil
--- a/control/follow/feed.go
+++ b/control/follow/feed.go
@@ -65,7 +65,7 @@
 	for i := range list {
 		u.Backends[i] = message.FollowedBackend{Incarnation: list[i].Incarnation, Silent: list[i].Silent}
 	}
-	body, err := cluster.EncodePacked(u)
+	body, err := cluster.EncodeCompressed(u)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -98,7 +98,7 @@
 	}
 	bare := *d
 	bare.Source = nil
-	body, err := cluster.EncodePacked(&message.FollowUpdate{Document: &bare})
+	body, err := cluster.EncodeCompressed(&message.FollowUpdate{Document: &bare})
 	if err != nil {
 		return nil, err
 	}
--- a/control/follow/feed_test.go
+++ b/control/follow/feed_test.go
@@ -18,19 +18,19 @@
 )
 
 func newDirectory() *gossip.Directory {
-	return gossip.New(gossip.Config{Clock: clock.New(), Log: logs.Discard(), Silent: time.Hour})
+	return gossip.New(gossip.Config{Clock: clock.New(), Log: logs.Discard(), SilentAfter: time.Hour})
 }
 
 func incarnation(n int, sequence uint64, draining bool) *catkinrail.Incarnation {
 	return &catkinrail.Incarnation{
-		Name: "i-" + string(rune('a'+n)), Identity: uint64(n + 1), Born: 1, Sequence: sequence, Service: "logbook", Slots: 2, Zone: "a",
+		Name: "i-" + string(rune('a'+n)), Identity: uint64(n + 1), StartedAt: 1, Sequence: sequence, Service: "logbook", Slots: 2, Zone: "a",
 		Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), 80), Draining: draining,
 	}
 }
 
 func decode(t require.TestingT, body []byte) *message.FollowUpdate {
 	var u message.FollowUpdate
-	require.NoError(t, cluster.DecodePacked(body, &u))
+	require.NoError(t, cluster.DecodeCompressed(body, &u))
 	return &u
 }
 
--- a/control/follow/server.go
+++ b/control/follow/server.go
@@ -92,7 +92,7 @@
 // hello sends an empty update, so that the entry instance soon knows that someone is
 // there, however long the first update takes on its link.
 func (x *stream) hello() error {
-	body, err := cluster.EncodePacked(&message.FollowUpdate{})
+	body, err := cluster.EncodeCompressed(&message.FollowUpdate{})
 	if err != nil {
 		return err
 	}
@@ -197,7 +197,7 @@
 			u.Peers = append(u.Peers, snap.Members.Nodes[id])
 		}
 	}
-	body, err := cluster.EncodePacked(u)
+	body, err := cluster.EncodeCompressed(u)
 	if err != nil {
 		return err
 	}
--- a/control/gossip/gossip_test.go
+++ b/control/gossip/gossip_test.go
@@ -32,7 +32,7 @@
 
 func newDirectory(clock catkinrail.Clock, zone string, dir catkinrail.Dir) *Directory {
 	return New(Config{
-		Self: quorum.Peer{Name: "control-" + zone, Zone: zone}, Clock: clock, Log: logs.Discard(), Silent: silentAfter, Dir: dir,
+		Self: quorum.Peer{Name: "control-" + zone, Zone: zone}, Clock: clock, Log: logs.Discard(), SilentAfter: silentAfter, Dir: dir,
 	})
 }
 
@@ -65,7 +65,7 @@
 
 func incarnation(name, zone string, sequence uint64) *catkinrail.Incarnation {
 	return &catkinrail.Incarnation{
-		Name: name, Identity: 1, Born: 100, Sequence: sequence, Service: "logbook", Zone: catkinrail.Zone(zone), Slots: 2,
+		Name: name, Identity: 1, StartedAt: 100, Sequence: sequence, Service: "logbook", Zone: catkinrail.Zone(zone), Slots: 2,
 		Addr: netip.MustParseAddrPort("10.0.0." + name[len(name)-1:] + ":80"),
 	}
 }
--- a/control/gossip/peer.go
+++ b/control/gossip/peer.go
@@ -129,21 +129,21 @@
 		g.Changed = changed
 		for i := range renewed {
 			r := &renewed[i]
-			g.Pulses = append(g.Pulses, message.Pulse{Name: r.Name, Born: r.Born, Sequence: r.Sequence, Draining: r.Draining})
+			g.Renewals = append(g.Renewals, message.Renewal{Name: r.Name, StartedAt: r.StartedAt, Sequence: r.Sequence, Draining: r.Draining})
 		}
 	}
 	if now-p.compared > int64(digestInterval) {
 		p.compared = now
 		g.Digest = d.dir.Digest()
 	}
-	if !g.Full && len(g.Changed) == 0 && len(g.Pulses) == 0 && g.Digest == 0 && p.reached {
+	if !g.Full && len(g.Changed) == 0 && len(g.Renewals) == 0 && g.Digest == 0 && p.reached {
 		return nil, 0, d.changed
 	}
 	return g, d.dir.Revision(), d.changed
 }
 
 func (d *Directory) call(ctx context.Context, client *rpc.Client, p *peer, g *message.Gossip) error {
-	body, err := cluster.EncodePacked(g)
+	body, err := cluster.EncodeCompressed(g)
 	if err != nil {
 		return catkinrail.At(err, "gossip", p.addr)
 	}
@@ -153,7 +153,7 @@
 		if err != nil {
 			return err
 		}
-		return cluster.DecodePacked(f.GetBody(), &reply)
+		return cluster.DecodeCompressed(f.GetBody(), &reply)
 	})
 	if err != nil {
 		return err
--- a/control/operator/directory.go
+++ b/control/operator/directory.go
@@ -40,7 +40,7 @@
 func describeReporting(v *directory.View, now time.Time) *api.ReportingServer {
 	return &api.ReportingServer{
 		Name: v.Name, Service: v.Service, Zone: string(v.Zone), Address: v.Addr.String(), Slots: uint32(v.Slots),
-		State: reportingState(v), Born: v.Born, Sequence: v.Sequence, AgeMs: now.Sub(time.Unix(0, v.LastReport)).Milliseconds(),
+		State: reportingState(v), Born: v.StartedAt, Sequence: v.Sequence, AgeMs: now.Sub(time.Unix(0, v.LastReport)).Milliseconds(),
 	}
 }
 
--- a/control/voter/voter.go
+++ b/control/voter/voter.go
@@ -26,9 +26,9 @@
 	senderWindow = 64
 )
 
-// Voters sends messages to the other control instances, each over a queue of
+// Transport sends messages to the other control instances, each over a queue of
 // its own, so that a silent one holds up nobody.
-type Voters struct {
+type Transport struct {
 	ctx   context.Context
 	group *errgroup.Group
 	creds *rpc.Credentials
@@ -52,13 +52,13 @@
 }
 
 // New returns voters whose senders run in the group until ctx ends.
-func New(ctx context.Context, g *errgroup.Group, creds *rpc.Credentials, log *logs.Logger, clock catkinrail.Clock) *Voters {
-	return &Voters{ctx: ctx, group: g, creds: creds, log: log, clock: clock, senders: map[quorum.NodeID]*sender{}}
+func New(ctx context.Context, g *errgroup.Group, creds *rpc.Credentials, log *logs.Logger, clock catkinrail.Clock) *Transport {
+	return &Transport{ctx: ctx, group: g, creds: creds, log: log, clock: clock, senders: map[quorum.NodeID]*sender{}}
 }
 
 // Send queues the messages. A message that finds its queue full is dropped, as
 // the network might have done.
-func (v *Voters) Send(list []quorum.Message, members *quorum.Members) {
+func (v *Transport) Send(list []quorum.Message, members *quorum.Members) {
 	for _, m := range list {
 		s := v.sender(m.To, members)
 		if s == nil {
@@ -72,7 +72,7 @@
 }
 
 // sender returns the sender to a node, begun anew if its address has changed.
-func (v *Voters) sender(id quorum.NodeID, members *quorum.Members) *sender {
+func (v *Transport) sender(id quorum.NodeID, members *quorum.Members) *sender {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	peer, ok := members.Nodes[id]
@@ -102,7 +102,7 @@
 	return s
 }
 
-func (v *Voters) run(ctx context.Context, s *sender) {
+func (v *Transport) run(ctx context.Context, s *sender) {
 	defer s.client.Close()
 	for {
 		select {
@@ -145,10 +145,10 @@
 }
 
 // Hello asks the control instance at addr who it is.
-func Hello(ctx context.Context, addr string, creds *rpc.Credentials) (*message.Greeting, error) {
+func Hello(ctx context.Context, addr string, creds *rpc.Credentials) (*message.HelloReply, error) {
 	c := rpc.NewClient(addr, creds)
 	defer c.Close()
-	g := &message.Greeting{}
+	g := &message.HelloReply{}
 	err := c.Call(ctx, "hello", stepTimeout, func(ctx context.Context, conn drpc.Conn) error {
 		f, err := control.NewDRPCControlClient(conn).Hello(ctx, &control.Frame{})
 		if err != nil {
@@ -161,7 +161,7 @@
 
 // Join asks the control instance at addr to take in a new member, and learns how
 // to reach the others. It reports whether there is nothing left to ask for.
-func (v *Voters) Join(ctx context.Context, addr string, req *message.JoinRequest) (done bool, err error) {
+func (v *Transport) Join(ctx context.Context, addr string, req *message.JoinRequest) (done bool, err error) {
 	body, err := cluster.Encode(req)
 	if err != nil {
 		return false, err
@@ -180,12 +180,12 @@
 		return false, err
 	}
 	v.learn(&reply)
-	return !reply.Wait, nil
+	return !reply.RetryLater, nil
 }
 
 // learn notes how to reach members that this instance's own log doesn't name
 // yet.
-func (v *Voters) learn(reply *message.JoinReply) {
+func (v *Transport) learn(reply *message.JoinReply) {
 	if len(reply.Members.Nodes) == 0 {
 		return
 	}
@@ -195,9 +195,9 @@
 	v.leader = reply.Members.Nodes[reply.Leader].Addr
 }
 
-// Leader returns the address of the leader that an answer to Join has named, or
+// LeaderAddr returns the address of the leader that an answer to Join has named, or
 // an empty string.
-func (v *Voters) Leader() string {
+func (v *Transport) LeaderAddr() string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.leader
--- a/control/voter/voter_test.go
+++ b/control/voter/voter_test.go
@@ -28,7 +28,7 @@
 
 // Join implements control.DRPCControlServer.
 func (l *leader) Join(context.Context, *control.Frame) (*control.Frame, error) {
-	body, err := cluster.Encode(&message.JoinReply{Wait: true, Members: l.members, Leader: 7})
+	body, err := cluster.Encode(&message.JoinReply{RetryLater: true, Members: l.members, Leader: 7})
 	return &control.Frame{Body: body}, err
 }
 
@@ -69,7 +69,7 @@
 	done, err := v.Join(ctx, addr, &message.JoinRequest{Node: 9, Peer: quorum.Peer{Name: "new"}})
 	require.NoError(t, err)
 	require.False(t, done)
-	require.Equal(t, addr, v.Leader())
+	require.Equal(t, addr, v.LeaderAddr())
 	v.Send(answer, none)
 	require.Equal(t, answer[0], <-l.steps)
 	cancel()
--- a/coordination/message/message.go
+++ b/coordination/message/message.go
@@ -12,8 +12,8 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-// Greeting says who a control instance is.
-type Greeting struct {
+// HelloReply says who a control instance is.
+type HelloReply struct {
 	Node quorum.NodeID `cbor:"1,keyasint"`
 	Name string        `cbor:"2,keyasint"`
 	// LastIndex is the index of its last entry.
@@ -29,15 +29,15 @@
 
 // JoinReply answers a JoinRequest.
 type JoinReply struct {
-	// Wait asks for the request to be sent again later.
-	Wait    bool           `cbor:"1,keyasint,omitempty"`
+	// RetryLater asks for the request to be sent again later.
+	RetryLater    bool           `cbor:"1,keyasint,omitempty"`
 	Members quorum.Members `cbor:"2,keyasint"`
 	// Leader is the member to ask next, zero if none is known.
 	Leader quorum.NodeID `cbor:"3,keyasint,omitempty"`
 }
 
-// Registered answers a registration.
-type Registered struct {
+// RegisterReply answers a registration.
+type RegisterReply struct {
 	ID catkinrail.InstanceID `cbor:"1,keyasint"`
 }
 
@@ -46,7 +46,7 @@
 	ID catkinrail.InstanceID `cbor:"1,keyasint"`
 	// Term is the highest term that the instance has seen.
 	Term   uint64               `cbor:"2,keyasint,omitempty"`
-	Have   uint64               `cbor:"3,keyasint,omitempty"`
+	StateVersion   uint64               `cbor:"3,keyasint,omitempty"`
 	Synced uint64               `cbor:"4,keyasint,omitempty"`
 	Busy   map[uint64]plan.Busy `cbor:"5,keyasint,omitempty"`
 	// Announcements are new or due to be renewed.
@@ -85,16 +85,16 @@
 	Unregistered bool `cbor:"5,keyasint,omitempty"`
 }
 
-// ReadMark names the entry that an instance must have applied before it answers
+// ReadIndexReply names the entry that an instance must have applied before it answers
 // a read that began before the mark was taken.
-type ReadMark struct {
+type ReadIndexReply struct {
 	Index uint64 `cbor:"1,keyasint"`
 }
 
-// Pulse renews the report of an incarnation that the receiver knows.
-type Pulse struct {
+// Renewal renews the report of an incarnation that the receiver knows.
+type Renewal struct {
 	Name     string `cbor:"1,keyasint"`
-	Born     int64  `cbor:"2,keyasint"`
+	StartedAt     int64  `cbor:"2,keyasint"`
 	Sequence uint64 `cbor:"3,keyasint"`
 	Draining bool   `cbor:"4,keyasint,omitempty"`
 }
@@ -103,7 +103,7 @@
 type Gossip struct {
 	// Changed are incarnations whose state has changed.
 	Changed []catkinrail.Incarnation `cbor:"1,keyasint,omitempty"`
-	Pulses  []Pulse                  `cbor:"2,keyasint,omitempty"`
+	Renewals  []Renewal                  `cbor:"2,keyasint,omitempty"`
 	// Digest is a hash of the sender's directory; zero asks for no comparison.
 	Digest uint64 `cbor:"3,keyasint,omitempty"`
 	// Full says that Changed is the sender's whole directory, and asks for the
--- a/coordination/overload/overload.go
+++ b/coordination/overload/overload.go
@@ -15,8 +15,8 @@
 	standstill = 2 * time.Second
 )
 
-// Gauge follows the queue before an instance. The zero value has none.
-type Gauge struct {
+// Detector follows the queue before an instance. The zero value has none.
+type Detector struct {
 	// since is the time of the first of the reads in a row that left packets
 	// waiting; zero after one that didn't.
 	since int64
@@ -24,10 +24,10 @@
 	last int64
 }
 
-// Read notes a read at the given time, in nanoseconds, and whether it left packets
+// ObserveRead notes a read at the given time, in nanoseconds, and whether it left packets
 // waiting. It reports whether new flows should be turned away. What has gathered
 // while the process stood still doesn't count: it may be gone in an instant.
-func (g *Gauge) Read(left bool, now int64) (overloaded bool) {
+func (g *Detector) ObserveRead(left bool, now int64) (overloaded bool) {
 	stood := now-g.last > int64(standstill)
 	g.last = now
 	switch {
--- a/coordination/overload/overload_test.go
+++ b/coordination/overload/overload_test.go
@@ -31,10 +31,10 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var g overload.Gauge
+			var g overload.Detector
 			got := false
 			for _, r := range tt.reads {
-				got = g.Read(r.left, r.at)
+				got = g.ObserveRead(r.left, r.at)
 			}
 			require.Equal(t, tt.want, got)
 		})
--- a/coordination/overload/replay_test.go
+++ b/coordination/overload/replay_test.go
@@ -78,7 +78,7 @@
 			})
 		}
 	}
-	var gauge overload.Gauge
+	var gauge overload.Detector
 	budget := 0.0
 	for now = 1; now < loadMS; now++ {
 		for _, f := range later[now] {
@@ -94,7 +94,7 @@
 		if now%10 != 0 {
 			continue
 		}
-		overloaded := gauge.Read(len(queue) >= batch, int64(now)*ms)
+		overloaded := gauge.ObserveRead(len(queue) >= batch, int64(now)*ms)
 		for budget += handledIn10ms; budget >= 1 && len(queue) > 0; {
 			p := queue[0]
 			queue = queue[1:]
--- a/coordination/plan/command.go
+++ b/coordination/plan/command.go
@@ -18,9 +18,9 @@
 	ErrNotFound   = errors.New("not found")
 	ErrQuarantine = errors.New("address is in quarantine")
 	ErrImmutable  = errors.New("field can't be changed")
-	ErrRequest    = errors.New("request identifier was used for another command")
+	ErrRequestReused    = errors.New("request identifier was used for another command")
 	ErrInvalid    = errors.New("invalid")
-	ErrVoid       = errors.New("request was reported as not run and won't run any more")
+	ErrReportedNotRun       = errors.New("request was reported as not run and won't run any more")
 )
 
 // Command is an operator's command. Exactly one of the pointers is set.
@@ -83,10 +83,10 @@
 	}
 	if a := s.FindAnswer(c.Request); a != nil {
 		if a.Digest == voidDigest {
-			return nil, nil, fmt.Errorf("request %q: %w", c.Request, ErrVoid)
+			return nil, nil, fmt.Errorf("request %q: %w", c.Request, ErrReportedNotRun)
 		}
 		if a.Digest != digest {
-			return nil, nil, fmt.Errorf("request %q: %w", c.Request, ErrRequest)
+			return nil, nil, fmt.Errorf("request %q: %w", c.Request, ErrRequestReused)
 		}
 		return nil, a, nil
 	}
--- a/coordination/plan/forget.go
+++ b/coordination/plan/forget.go
@@ -24,7 +24,7 @@
 		if p.gone[id].IsZero() {
 			p.gone[id] = now
 		}
-		if now.Sub(p.gone[id]) > catkinrail.KeepEnded && len(due) < maxForgotten {
+		if now.Sub(p.gone[id]) > catkinrail.EndedRetention && len(due) < maxForgotten {
 			due = append(due, b)
 		}
 	}
--- a/coordination/plan/forget_test.go
+++ b/coordination/plan/forget_test.go
@@ -28,7 +28,7 @@
 	w.apply(plan.Expire(w.state, []catkinrail.BackendID{byName("host-1").ID, byName("host-2").ID}))
 	w.settle(30 * time.Second)
 	require.Len(t, w.state.Backends, 24)
-	w.now = w.now.Add(catkinrail.KeepEnded)
+	w.now = w.now.Add(catkinrail.EndedRetention)
 	w.settle(time.Second)
 	require.Len(t, w.state.Backends, 3, "host-0, host-1 and host-3")
 	require.Nil(t, byName("host-2"))
@@ -57,7 +57,7 @@
 	w.settle(3 * time.Second)
 	w.apply(plan.Expire(w.state, ended))
 	w.settle(30 * time.Second)
-	w.now = w.now.Add(catkinrail.KeepEnded)
+	w.now = w.now.Add(catkinrail.EndedRetention)
 	w.settle(time.Second)
 	require.Len(t, w.state.Backends, drained+1)
 }
--- a/coordination/plan/members.go
+++ b/coordination/plan/members.go
@@ -78,11 +78,11 @@
 func (d *draft) admit(svc *catkinrail.Service, old *catkinrail.Backend, a *Announcement) {
 	b := &catkinrail.Backend{
 		ID: d.state.LastBackend + 1, Name: a.Name, Service: svc.ID, Zone: a.Zone,
-		Slots: a.Slots, Incarnation: a.Incarnation, Weight: announcedWeight(a), Full: announcedWeight(a),
+		Slots: a.Slots, Incarnation: a.Incarnation, Weight: announcedWeight(a), FullWeight: announcedWeight(a),
 	}
 	if d.serving(svc) {
 		// A cold server begins with a part of its share.
-		b.Weight = max(b.Full/rampSteps, 1)
+		b.Weight = max(b.FullWeight/rampSteps, 1)
 	}
 	b.Drained = old != nil && old.Drained
 	b.State = announcedState(b, a)
@@ -131,14 +131,14 @@
 // that was gone for a while without restarting still has its flows.
 func (d *draft) refresh(svc *catkinrail.Service, old *catkinrail.Backend, a *Announcement) {
 	put := *old
-	if full := announcedWeight(a); full != old.Full {
-		put.Weight, put.Full = full, full
+	if full := announcedWeight(a); full != old.FullWeight {
+		put.Weight, put.FullWeight = full, full
 	}
 	put.Silent = false
 	if old.State != catkinrail.BackendEjected || old.Silent {
 		put.State = announcedState(&put, a)
 	}
-	if put.State == old.State && put.Full == old.Full {
+	if put.State == old.State && put.FullWeight == old.FullWeight {
 		return
 	}
 	d.putBackend(svc, &put)
@@ -283,8 +283,8 @@
 	return []cluster.Event{{InstancePut: &put}}
 }
 
-// Left returns the events for an instance that has ended its graceful shutdown.
-func Left(s *cluster.State, id catkinrail.InstanceID) []cluster.Event {
+// CompleteLeave returns the events for an instance that has ended its graceful shutdown.
+func CompleteLeave(s *cluster.State, id catkinrail.InstanceID) []cluster.Event {
 	d := &draft{state: s}
 	d.lose([]catkinrail.InstanceID{id})
 	return d.events
@@ -355,9 +355,9 @@
 	d.add(cluster.Event{ViewSet: &v})
 }
 
-// Exceptions returns the events that make every instance look up the flows of
+// PrepareExceptions returns the events that make every instance look up the flows of
 // settled buckets in which a zone that was cut off placed flows elsewhere.
-func Exceptions(s *cluster.State, service catkinrail.ServiceID, buckets []uint32) []cluster.Event {
+func PrepareExceptions(s *cluster.State, service catkinrail.ServiceID, buckets []uint32) []cluster.Event {
 	svc := s.Services[service]
 	if svc == nil {
 		return nil
@@ -383,9 +383,9 @@
 	return d.events
 }
 
-// Silence returns the events that give backend servers no new flows because
+// EjectSilent returns the events that give backend servers no new flows because
 // they stopped announcing themselves. They keep the flows they have.
-func Silence(s *cluster.State, ids []catkinrail.BackendID) []cluster.Event {
+func EjectSilent(s *cluster.State, ids []catkinrail.BackendID) []cluster.Event {
 	d := &draft{state: s}
 	byService := map[catkinrail.ServiceID][]*catkinrail.Backend{}
 	for _, id := range ids {
--- a/coordination/plan/plan_test.go
+++ b/coordination/plan/plan_test.go
@@ -24,7 +24,7 @@
 	state *cluster.State
 	now   time.Time
 	plan  *plan.Planner
-	last  map[catkinrail.InstanceID]plan.Member
+	last  map[catkinrail.InstanceID]plan.InstanceStatus
 	n     int
 }
 
@@ -79,12 +79,12 @@
 
 // members returns the report of instances that are up to date, but for those
 // without a lease: what they reported last stays.
-func (w *world) members(unleased ...catkinrail.InstanceID) map[catkinrail.InstanceID]plan.Member {
-	m := map[catkinrail.InstanceID]plan.Member{}
+func (w *world) members(unleased ...catkinrail.InstanceID) map[catkinrail.InstanceID]plan.InstanceStatus {
+	m := map[catkinrail.InstanceID]plan.InstanceStatus{}
 	for id := range w.state.Instances {
-		m[id] = plan.Member{Leased: true, Version: w.state.Version, Synced: w.state.Version}
+		m[id] = plan.InstanceStatus{Leased: true, Version: w.state.Version, Synced: w.state.Version}
 		if slices.Contains(unleased, id) {
-			m[id] = plan.Member{Version: w.last[id].Version, Synced: w.last[id].Synced}
+			m[id] = plan.InstanceStatus{Version: w.last[id].Version, Synced: w.last[id].Synced}
 		}
 	}
 	w.last = m
@@ -304,7 +304,7 @@
 	wait := func() {
 		for range 20 {
 			m := w.members()
-			m[b] = plan.Member{Leased: true, Version: w.state.Version}
+			m[b] = plan.InstanceStatus{Leased: true, Version: w.state.Version}
 			w.plan.Observe(m)
 			w.apply(w.plan.Next(w.state, w.now))
 			w.now = w.now.Add(100 * time.Millisecond)
@@ -333,7 +333,7 @@
 	})
 	t.Run("another command under the same identifier", func(t *testing.T) {
 		_, _, err := plan.Evaluate(w.state, &plan.Command{Request: "r1", Delete: new("drawvault")})
-		require.ErrorIs(t, err, plan.ErrRequest)
+		require.ErrorIs(t, err, plan.ErrRequestReused)
 	})
 	t.Run("two operators race", func(t *testing.T) {
 		a := &plan.Command{Request: "a", Expect: version, Delete: new("drawvault")}
@@ -350,7 +350,7 @@
 		require.False(t, ran)
 		w.apply(events)
 		_, _, err := plan.Evaluate(w.state, late)
-		require.ErrorIs(t, err, plan.ErrVoid)
+		require.ErrorIs(t, err, plan.ErrReportedNotRun)
 	})
 	t.Run("address in quarantine", func(t *testing.T) {
 		_, _, err := plan.Evaluate(w.state, &plan.Command{Request: "q", Create: config("other", "192.0.2.2:443")})
@@ -447,7 +447,7 @@
 	w.announce(announcement("host-1", 1, 1))
 	w.settle(3 * time.Second)
 	id := w.state.BackendByName(w.service().ID, "host-0").ID
-	w.apply(plan.Silence(w.state, []catkinrail.BackendID{id}))
+	w.apply(plan.EjectSilent(w.state, []catkinrail.BackendID{id}))
 	require.False(t, plan.Gone(w.state, catkinrail.MakeSlotID(id, 0)))
 	w.announce(announcement("host-0", 1, 1))
 	require.Equal(t, catkinrail.BackendActive, w.state.Backends[id].State)
--- a/coordination/plan/planner.go
+++ b/coordination/plan/planner.go
@@ -27,8 +27,8 @@
 // can't be reached at all, all leases end within it.
 const lossDelay = 500 * time.Millisecond
 
-// Member is what the leader knows of an entry instance.
-type Member struct {
+// InstanceStatus is what the leader knows of an entry instance.
+type InstanceStatus struct {
 	// Leased is set while the instance may hold a lease.
 	Leased bool
 	// Version is the configuration version that it acknowledged.
@@ -42,9 +42,9 @@
 
 // Busy says why a move can't settle yet.
 type Busy struct {
-	// Unrecorded is the time since a packet without a record was sent to the
+	// UnrecordedAge is the time since a packet without a record was sent to the
 	// current slot of one of the move's buckets.
-	Unrecorded time.Duration `cbor:"1,keyasint,omitempty"`
+	UnrecordedAge time.Duration `cbor:"1,keyasint,omitempty"`
 	// SawUnrecorded is set if there was such a packet.
 	SawUnrecorded bool `cbor:"2,keyasint,omitempty"`
 	// Elsewhere is set while a record names neither bucket owner.
@@ -54,7 +54,7 @@
 // Planner advances moves and views. It belongs to one leader for one term and
 // keeps only observations; what must survive is in the agreed state.
 type Planner struct {
-	members map[catkinrail.InstanceID]Member
+	members map[catkinrail.InstanceID]InstanceStatus
 	// reached gives the time at which a version was first seen to be in force
 	// everywhere, for each move.
 	reached map[moveStep]time.Time
@@ -83,7 +83,7 @@
 // NewPlanner returns a planner without observations.
 func NewPlanner() *Planner {
 	return &Planner{
-		members:    map[catkinrail.InstanceID]Member{},
+		members:    map[catkinrail.InstanceID]InstanceStatus{},
 		reached:    map[moveStep]time.Time{},
 		unrecorded: map[uint64]time.Time{},
 		waiting:    map[catkinrail.ServiceID]time.Time{},
@@ -94,7 +94,7 @@
 }
 
 // Observe replaces what is known of the entry instances.
-func (p *Planner) Observe(members map[catkinrail.InstanceID]Member) {
+func (p *Planner) Observe(members map[catkinrail.InstanceID]InstanceStatus) {
 	p.members = members
 }
 
@@ -140,7 +140,7 @@
 	due := map[catkinrail.ServiceID][]*catkinrail.Backend{}
 	for _, id := range cluster.SortedKeys(d.state.Backends) {
 		b := d.state.Backends[id]
-		if b.Weight >= b.Full || b.State != catkinrail.BackendActive {
+		if b.Weight >= b.FullWeight || b.State != catkinrail.BackendActive {
 			delete(p.warming, id)
 			continue
 		}
@@ -152,7 +152,7 @@
 		}
 		delete(p.warming, id)
 		put := *b
-		put.Weight = min(b.Weight+max(b.Full/rampSteps, 1), b.Full)
+		put.Weight = min(b.Weight+max(b.FullWeight/rampSteps, 1), b.FullWeight)
 		d.add(cluster.Event{BackendPut: &put})
 		due[b.Service] = append(due[b.Service], &put)
 	}
@@ -406,7 +406,7 @@
 			return false
 		}
 		if busy.SawUnrecorded {
-			at := now.Add(-busy.Unrecorded)
+			at := now.Add(-busy.UnrecordedAge)
 			if at.After(last) {
 				last = at
 			}
--- a/coordination/quorum/election.go
+++ b/coordination/quorum/election.go
@@ -96,7 +96,7 @@
 // answerVote answers a candidate. While a leader may hold a lease that relies on
 // this node, every candidate is rejected.
 func (n *Node) answerVote(m *Message) {
-	leased := n.now-n.heard < int64(n.timing.Election) || n.role == Leader
+	leased := n.now-n.heard < int64(n.timing.ElectionTimeout) || n.role == Leader
 	kind := VoteAnswer
 	if m.Kind == PreVote {
 		kind = PreVoteAnswer
@@ -162,7 +162,7 @@
 	for id := range n.members.Nodes {
 		n.progress[id] = &progress{next: n.log.last() + 1}
 	}
-	n.beat = n.now + int64(n.timing.Heartbeat)
+	n.beat = n.now + int64(n.timing.HeartbeatInterval)
 	// Entries of earlier terms are committed by committing one of this term.
 	if _, _, err := n.propose(Entry{Kind: EntryNoop}); err != nil {
 		panic(err)
--- a/coordination/quorum/node.go
+++ b/coordination/quorum/node.go
@@ -26,12 +26,12 @@
 
 // Timing sets the node's intervals.
 type Timing struct {
-	// Heartbeat is the interval between a leader's messages.
-	Heartbeat time.Duration
-	// Election is the least time without a leader's message after which a node
+	// HeartbeatInterval is the interval between a leader's messages.
+	HeartbeatInterval time.Duration
+	// ElectionTimeout is the least time without a leader's message after which a node
 	// stands for election; the greatest is twice as long. It also bounds the
 	// leader's lease.
-	Election time.Duration
+	ElectionTimeout time.Duration
 	// NoLease says that nobody relies on a leader's lease. A node that restarted
 	// then votes and stands at once, which shortens the way back after a loss of
 	// all nodes.
@@ -39,7 +39,7 @@
 }
 
 // DefaultTiming suits availability zones a few milliseconds apart.
-var DefaultTiming = Timing{Heartbeat: 60 * time.Millisecond, Election: 400 * time.Millisecond}
+var DefaultTiming = Timing{HeartbeatInterval: 60 * time.Millisecond, ElectionTimeout: 400 * time.Millisecond}
 
 // Limits of messages.
 const (
@@ -123,8 +123,8 @@
 	n.refreshMembers()
 	n.resetDeadline()
 	if timing.NoLease {
-		n.heard = now - int64(timing.Election)
-		span := int64(timing.Election) / startDivisor
+		n.heard = now - int64(timing.ElectionTimeout)
+		span := int64(timing.ElectionTimeout) / startDivisor
 		n.deadline = now + span + n.rng.Int64N(2*span)
 	}
 	return n
@@ -167,11 +167,11 @@
 // LastIndex returns the index of the last entry.
 func (n *Node) LastIndex() uint64 { return n.log.last() }
 
-// Commit returns the index of the last committed entry.
-func (n *Node) Commit() uint64 { return n.log.commit }
+// CommitIndex returns the index of the last committed entry.
+func (n *Node) CommitIndex() uint64 { return n.log.commit }
 
-// Match returns the index up to which another node's log is known to agree.
-func (n *Node) Match(id NodeID) uint64 {
+// MatchIndex returns the index up to which another node's log is known to agree.
+func (n *Node) MatchIndex(id NodeID) uint64 {
 	if p := n.progress[id]; p != nil {
 		return p.match
 	}
@@ -179,7 +179,7 @@
 }
 
 func (n *Node) resetDeadline() {
-	span := int64(n.timing.Election)
+	span := int64(n.timing.ElectionTimeout)
 	n.deadline = n.now + span + n.rng.Int64N(span)
 }
 
@@ -187,7 +187,7 @@
 // milliseconds, so that it need not wait as long as for a leader; chance keeps
 // candidates that split the votes apart.
 func (n *Node) resetCampaign() {
-	span := int64(n.timing.Election) / campaignDivisor
+	span := int64(n.timing.ElectionTimeout) / campaignDivisor
 	n.deadline = n.now + span + n.rng.Int64N(2*span)
 }
 
@@ -211,7 +211,7 @@
 		}
 		return n.progress[id].acked
 	})
-	return acked + int64(n.timing.Election)*(100-driftPercent)/100
+	return acked + int64(n.timing.ElectionTimeout)*(100-driftPercent)/100
 }
 
 // quorumValue returns the greatest value that a majority of voters reaches.
@@ -243,11 +243,11 @@
 
 func (n *Node) tickLeader() {
 	if n.now >= n.beat {
-		n.beat = n.now + int64(n.timing.Heartbeat)
+		n.beat = n.now + int64(n.timing.HeartbeatInterval)
 		n.broadcast()
 	}
 	// A leader without a majority steps down, so that its callers look elsewhere.
-	if n.now > max(n.leaseEnd(), n.elected)+int64(n.timing.Election) {
+	if n.now > max(n.leaseEnd(), n.elected)+int64(n.timing.ElectionTimeout) {
 		n.follow(n.hard.Term, 0)
 	}
 }
@@ -360,14 +360,14 @@
 	return r
 }
 
-// After returns the entries that follow the given index.
-func (n *Node) After(index uint64) []Entry {
+// EntriesAfter returns the entries that follow the given index.
+func (n *Node) EntriesAfter(index uint64) []Entry {
 	return n.log.slice(index+1, len(n.log.entries))
 }
 
-// Applied returns the index of the last entry that was handed out to be
+// AppliedIndex returns the index of the last entry that was handed out to be
 // applied.
-func (n *Node) Applied() uint64 { return n.log.applied }
+func (n *Node) AppliedIndex() uint64 { return n.log.applied }
 
-// FirstIndex returns the index that the latest snapshot covers.
-func (n *Node) FirstIndex() uint64 { return n.log.first() }
+// SnapshotIndex returns the index that the latest snapshot covers.
+func (n *Node) SnapshotIndex() uint64 { return n.log.first() }
--- a/coordination/quorum/quorum_test.go
+++ b/coordination/quorum/quorum_test.go
@@ -227,7 +227,7 @@
 	old := g.leader()
 	require.NotNil(t, old)
 	g.isolate(old.id, true)
-	g.run(quorum.DefaultTiming.Election)
+	g.run(quorum.DefaultTiming.ElectionTimeout)
 	require.False(t, old.node.Leading(g.local(old)))
 	g.run(3 * time.Second)
 	next := g.leader()
@@ -312,7 +312,7 @@
 	}
 	lead := g.leader()
 	s := lead.node.Snapshot([]byte("state"))
-	require.NoError(t, lead.j.SaveSnapshot(s, lead.node.After(s.Index)))
+	require.NoError(t, lead.j.SaveSnapshot(s, lead.node.EntriesAfter(s.Index)))
 	lead.node.Compact(s)
 	lost := g.order[0]
 	if lost == lead.id {
@@ -321,7 +321,7 @@
 	g.members[lost].down = true
 	g.add(9, nil)
 	g.run(2 * time.Second)
-	require.Zero(t, g.members[9].node.Commit(), "a node that nobody took in has no entries")
+	require.Zero(t, g.members[9].node.CommitIndex(), "a node that nobody took in has no entries")
 	for _, change := range []func(*quorum.Members){
 		func(m *quorum.Members) { m.Nodes[9] = quorum.Peer{Name: "again"}; m.Learners[9] = true },
 		func(m *quorum.Members) { delete(m.Nodes, lost) },
@@ -332,7 +332,7 @@
 		require.NoError(t, g.leader().node.ChangeMembers(next))
 		g.run(3 * time.Second)
 	}
-	require.Equal(t, g.leader().node.Commit(), g.members[9].node.Commit())
+	require.Equal(t, g.leader().node.CommitIndex(), g.members[9].node.CommitIndex())
 	require.True(t, g.leader().node.Members().Voter(9))
 	require.Equal(t, 3, g.leader().node.Members().Voters())
 }
--- a/coordination/quorum/read.go
+++ b/coordination/quorum/read.go
@@ -27,9 +27,9 @@
 	}) >= mark
 }
 
-// Unheard returns, on the leader, the time since each voter last answered, in
+// SinceLastContact returns, on the leader, the time since each voter last answered, in
 // nanoseconds. Since its election at the most.
-func (n *Node) Unheard(id NodeID) int64 {
+func (n *Node) SinceLastContact(id NodeID) int64 {
 	p := n.progress[id]
 	if p == nil {
 		return 0
--- a/coordination/quorum/read_test.go
+++ b/coordination/quorum/read_test.go
@@ -12,7 +12,7 @@
 )
 
 var noLease = quorum.Timing{
-	Heartbeat: quorum.DefaultTiming.Heartbeat, Election: quorum.DefaultTiming.Election, NoLease: true,
+	HeartbeatInterval: quorum.DefaultTiming.HeartbeatInterval, ElectionTimeout: quorum.DefaultTiming.ElectionTimeout, NoLease: true,
 }
 
 // read is a read that has begun at a member.
@@ -140,5 +140,5 @@
 	for behind.node.Synced() == 0 {
 		g.run(5 * time.Millisecond)
 	}
-	require.GreaterOrEqual(t, behind.node.Commit(), lead.node.Commit())
+	require.GreaterOrEqual(t, behind.node.CommitIndex(), lead.node.CommitIndex())
 }
--- a/coordination/route/copies.go
+++ b/coordination/route/copies.go
@@ -111,7 +111,7 @@
 }
 
 // Receive handles a message without a packet and returns the answers to it.
-func (e *Engine) Receive(m *relay.Message, payload []byte, now int64) ([]Send, error) {
+func (e *Engine) Receive(m *relay.Message, payload []byte, now int64) ([]Outgoing, error) {
 	switch m.Kind {
 	case relay.Copy:
 		return e.receiveCopy(m, payload, now)
@@ -125,7 +125,7 @@
 	return nil, nil
 }
 
-func (e *Engine) receiveCopy(m *relay.Message, payload []byte, now int64) ([]Send, error) {
+func (e *Engine) receiveCopy(m *relay.Message, payload []byte, now int64) ([]Outgoing, error) {
 	list, err := relay.ParseRecords(payload, now)
 	if err != nil {
 		return nil, err
@@ -150,7 +150,7 @@
 		return nil, nil
 	}
 	ack := relay.Message{Kind: relay.CopyAck, Sender: e.Self(), Version: t.version, Seq: m.Seq}
-	return []Send{{To: m.Sender, Addr: p.addr, Message: ack}}, nil
+	return []Outgoing{{To: m.Sender, Addr: p.addr, Message: ack}}, nil
 }
 
 func (e *Engine) receiveAck(seq uint32) {
@@ -168,7 +168,7 @@
 
 // Tick does the work that is due: it sends copies, expires records in a part of
 // the table and, without a lease, probes the zone.
-func (e *Engine) Tick(now int64) []Send {
+func (e *Engine) Tick(now int64) []Outgoing {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	t := e.table.Load()
@@ -213,8 +213,8 @@
 	return p
 }
 
-func (e *Engine) sendCopies(t *table, now int64) []Send {
-	var out []Send
+func (e *Engine) sendCopies(t *table, now int64) []Outgoing {
+	var out []Outgoing
 	for _, seq := range slices.Sorted(maps.Keys(e.copies.pending)) {
 		if len(out) == copiesPerTick {
 			break
@@ -235,7 +235,7 @@
 		for i := range b.records {
 			payload = relay.AppendRecord(payload, &b.records[i], now)
 		}
-		out = append(out, Send{To: b.to, Addr: p.addr, Message: m, Payload: payload})
+		out = append(out, Outgoing{To: b.to, Addr: p.addr, Message: m, Payload: payload})
 	}
 	return out
 }
--- a/coordination/route/engine.go
+++ b/coordination/route/engine.go
@@ -95,8 +95,8 @@
 	Message relay.Message
 }
 
-// Send is a message without a packet.
-type Send struct {
+// Outgoing is a message without a packet.
+type Outgoing struct {
 	To      catkinrail.InstanceID
 	Addr    netip.AddrPort
 	Message relay.Message
@@ -276,9 +276,9 @@
 	return request{h: h, now: now, t: t, svc: svc, n: n, b: &svc.buckets[n], opening: h.Opening()}, true
 }
 
-// Packet decides about a packet from the fabric. Most packets are later ones of
+// HandlePacket decides about a packet from the fabric. Most packets are later ones of
 // settled buckets; the way for them is short.
-func (e *Engine) Packet(h *ip.Header, now int64) (v Verdict) {
+func (e *Engine) HandlePacket(h *ip.Header, now int64) (v Verdict) {
 	t := e.table.Load()
 	svc := t.services[endpointOfFlow(&h.Key)]
 	if svc == nil {
@@ -374,8 +374,8 @@
 	return v
 }
 
-// Relayed decides about a packet that another instance passed on.
-func (e *Engine) Relayed(m *relay.Message, h *ip.Header, now int64) Verdict {
+// HandleRelayed decides about a packet that another instance passed on.
+func (e *Engine) HandleRelayed(m *relay.Message, h *ip.Header, now int64) Verdict {
 	r, ok := e.request(h, now)
 	if !ok {
 		return Verdict{Reason: ReasonNoService}
--- a/coordination/route/engine_test.go
+++ b/coordination/route/engine_test.go
@@ -93,7 +93,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			e := newEngine(t, catkinrail.BalanceHashed, open)
-			v := e.Relayed(&tt.m, header(1, ip.FlagSYN), 2*second)
+			v := e.HandleRelayed(&tt.m, header(1, ip.FlagSYN), 2*second)
 			require.Equal(t, tt.action, v.Action)
 			require.Equal(t, tt.reason.String(), v.Reason.String())
 			require.Equal(t, tt.slot, v.Slot)
@@ -107,7 +107,7 @@
 	e := newEngine(t, catkinrail.BalanceHashed, catkinrail.Bucket{Cur: first, Next: other, Phase: catkinrail.Open})
 	store := func(slot catkinrail.SlotID, epoch uint64) route.Verdict {
 		m := relay.Message{Kind: relay.Store, Sender: 2, Slot: slot, Epoch: epoch, Version: 1, Chain: [6]catkinrail.InstanceID{1}, ChainLength: 1}
-		return e.Relayed(&m, header(1, ip.FlagSYN), 2*second)
+		return e.HandleRelayed(&m, header(1, ip.FlagSYN), 2*second)
 	}
 	require.Equal(t, other, store(other, 5).Slot)
 	require.Equal(t, other, store(first, 8).Slot)
@@ -129,7 +129,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			e := newEngine(t, catkinrail.BalanceHashed, catkinrail.Bucket{Cur: first})
 			e.SetLease(50 * second)
-			require.Equal(t, tt.action, e.Packet(header(1, ip.FlagACK), tt.now).Action, "a lease doesn't shrink")
+			require.Equal(t, tt.action, e.HandlePacket(header(1, ip.FlagACK), tt.now).Action, "a lease doesn't shrink")
 		})
 	}
 }
@@ -157,7 +157,7 @@
 			e.SetLease(1000 * second)
 			refused := false
 			for n := range uint16(200) {
-				v := e.Packet(header(n, ip.FlagSYN), tt.now)
+				v := e.HandlePacket(header(n, ip.FlagSYN), tt.now)
 				refused = refused || v.Action == route.Refuse
 				require.NotEqual(t, route.Forward, v.Action)
 			}
@@ -184,7 +184,7 @@
 			e := newEngine(t, tt.balance, catkinrail.Bucket{Cur: first, Next: other, Phase: catkinrail.Open})
 			none := cluster.Event{ViewSet: &catkinrail.View{Version: 2}}
 			require.NoError(t, e.Update([]cluster.Change{{Version: 2, Events: []cluster.Event{none}}}, 2*second))
-			require.Equal(t, tt.action, e.Packet(header(1, tt.flags), 3*second).Action)
+			require.Equal(t, tt.action, e.HandlePacket(header(1, tt.flags), 3*second).Action)
 			require.Zero(t, e.Records())
 		})
 	}
--- a/coordination/route/report.go
+++ b/coordination/route/report.go
@@ -32,7 +32,7 @@
 	var b plan.Busy
 	if at := t.moves[m.ID].unrecorded.Load(); at != 0 {
 		b.SawUnrecorded = true
-		b.Unrecorded = time.Duration(now - at)
+		b.UnrecordedAge = time.Duration(now - at)
 	}
 	buckets := t.byID[m.Service].buckets
 	for _, n := range m.Buckets {
--- a/coordination/route/zone.go
+++ b/coordination/route/zone.go
@@ -67,7 +67,7 @@
 	return z.cut.Load() != nil
 }
 
-func (e *Engine) answerProbe(m *relay.Message, now int64) []Send {
+func (e *Engine) answerProbe(m *relay.Message, now int64) []Outgoing {
 	t := e.table.Load()
 	p, ok := t.peers[m.Sender]
 	if !ok {
@@ -77,7 +77,7 @@
 	if e.Leased(now) {
 		answer.Flags = relay.FlagLeased
 	}
-	return []Send{{To: m.Sender, Addr: p.addr, Message: answer}}
+	return []Outgoing{{To: m.Sender, Addr: p.addr, Message: answer}}
 }
 
 func (e *Engine) receiveProbeAnswer(m *relay.Message, now int64) {
@@ -87,7 +87,7 @@
 }
 
 // tick probes the zone while the instance has no lease and draws the conclusion.
-func (z *zoneState) tick(e *Engine, t *table, now int64, out []Send) []Send {
+func (z *zoneState) tick(e *Engine, t *table, now int64, out []Outgoing) []Outgoing {
 	if e.Leased(now) {
 		z.cut.Store(nil)
 		z.handoff.Store(0)
@@ -109,7 +109,7 @@
 	for _, id := range cluster.SortedKeys(t.peers) {
 		if p := t.peers[id]; id != self {
 			m := relay.Message{Kind: relay.Probe, Sender: self, Version: t.version}
-			out = append(out, Send{To: id, Addr: p.addr, Message: m})
+			out = append(out, Outgoing{To: id, Addr: p.addr, Message: m})
 		}
 	}
 	return out
@@ -365,7 +365,7 @@
 	e.zone.anyException.Store(len(e.zone.exceptions) > 0)
 }
 
-// Cut reports whether the zone is cut off and this instance goes on serving it.
-func (e *Engine) Cut() bool {
+// Partitioned reports whether the zone is cut off and this instance goes on serving it.
+func (e *Engine) Partitioned() bool {
 	return e.zone.isCut()
 }
--- a/coordination/token/engine_test.go
+++ b/coordination/token/engine_test.go
@@ -28,7 +28,7 @@
 
 func backend(name string, identity uint64) token.FollowedBackend {
 	return token.FollowedBackend{Incarnation: catkinrail.Incarnation{
-		Name: name, Identity: identity, Born: 100, Sequence: 1, Service: "logbook", Zone: "a", Slots: 2,
+		Name: name, Identity: identity, StartedAt: 100, Sequence: 1, Service: "logbook", Zone: "a", Slots: 2,
 		Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(identity)}), 80),
 	}}
 }
@@ -173,7 +173,7 @@
 	// Identities of more than 32 bits that fold to the same token.
 	older, younger := backend("a", 0x1_0000_0003), backend("b", 0x2_0000_0000)
 	older.Identity, younger.Identity = 0x1_0000_0003, 0x3_0000_0001
-	younger.Born = 200
+	younger.StartedAt = 200
 	require.Equal(t, older.Token(), younger.Token())
 	e := newEngine(younger, older)
 	for port := range uint16(20) {
@@ -202,7 +202,7 @@
 	require.Len(t, e.Update([]token.FollowedBackend{silent}, 0), 1, "the sender's observation counts although its report is old")
 
 	restarted := backend("a", 1)
-	restarted.Born = 200
+	restarted.StartedAt = 200
 	require.Len(t, e.Update([]token.FollowedBackend{restarted}, 0), 1)
 	require.Equal(t, token.ReasonPlaced, e.Decide(opening(2, 0), 0).Reason)
 	require.Empty(t, e.Update([]token.FollowedBackend{draining}, 0), "the earlier incarnation")
@@ -346,7 +346,7 @@
 // TestEndedIncarnationsExpire checks that ended and silent incarnations are removed
 // after catkinrail.KeepEnded, so that releases over a year don't fill the memory.
 func TestEndedIncarnationsExpire(t *testing.T) {
-	keep := int64(catkinrail.KeepEnded)
+	keep := int64(catkinrail.EndedRetention)
 	e := newEngine(backend("a", 1), backend("b", 2), backend("c", 3))
 	gone, silent := backend("b", 2), backend("c", 3)
 	gone.Gone, silent.Silent = true, true
--- a/coordination/token/update.go
+++ b/coordination/token/update.go
@@ -64,7 +64,7 @@
 		if b != nil && in.endedBy(&b.Incarnation) {
 			continue
 		}
-		if b == nil || b.Born != in.Born {
+		if b == nil || b.StartedAt != in.StartedAt {
 			// The flows of an earlier incarnation have ended with it.
 			b = &Backend{}
 			e.backends[in.Name] = b
@@ -82,8 +82,8 @@
 // endedBy reports whether known, the stored incarnation of the same name, shows that
 // the one in the update has ended.
 func (in *FollowedBackend) endedBy(known *catkinrail.Incarnation) bool {
-	if in.Born != known.Born {
-		return in.Born < known.Born
+	if in.StartedAt != known.StartedAt {
+		return in.StartedAt < known.StartedAt
 	}
 	return known.Gone && !in.Gone
 }
@@ -117,7 +117,7 @@
 		if b.Gone {
 			since = b.endedAt
 		}
-		if (b.Gone || b.silent) && now-since > int64(catkinrail.KeepEnded) {
+		if (b.Gone || b.silent) && now-since > int64(catkinrail.EndedRetention) {
 			delete(e.backends, name)
 		}
 	}
@@ -141,7 +141,7 @@
 			}
 			return -1
 		}
-		return cmp.Or(cmp.Compare(a.Born, b.Born), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), cmp.Compare(a.Name, b.Name))
 	})
 	clear(e.tokens)
 	clear(e.services)
--- a/emulator/bench/decision.go
+++ b/emulator/bench/decision.go
@@ -116,9 +116,9 @@
 	for i := range flows {
 		setFlow(h, i)
 		h.Flags = ip.FlagSYN
-		e.Packet(h, now)
+		e.HandlePacket(h, now)
 		h.Flags = ip.FlagACK
-		e.Packet(h, now)
+		e.HandlePacket(h, now)
 	}
 }
 
@@ -128,7 +128,7 @@
 	flow := 0
 	for range decisions {
 		setFlow(h, flow)
-		if v := e.Packet(h, now); v.Action != route.Forward {
+		if v := e.HandlePacket(h, now); v.Action != route.Forward {
 			panic("packet was not forwarded: " + v.Reason.String())
 		}
 		if flow++; flow == flows {
--- a/emulator/bench/token.go
+++ b/emulator/bench/token.go
@@ -30,7 +30,7 @@
 	var list []token.FollowedBackend
 	for i := range servers {
 		list = append(list, token.FollowedBackend{Incarnation: catkinrail.Incarnation{
-			Name: "host-" + string(rune('a'+i)), Identity: uint64(i + 1), Born: 1, Service: "bench", Slots: slotsPerServer, Zone: "a", Addr: to,
+			Name: "host-" + string(rune('a'+i)), Identity: uint64(i + 1), StartedAt: 1, Service: "bench", Slots: slotsPerServer, Zone: "a", Addr: to,
 		}})
 	}
 	e.Update(list, at)
--- a/entry/cmd/catkinrail-entry/daemon.go
+++ b/entry/cmd/catkinrail-entry/daemon.go
@@ -124,7 +124,7 @@
 		if has {
 			leased.Update(1)
 		}
-		if d.client.Ready() && (has || d.engine.Cut()) {
+		if d.client.Ready() && (has || d.engine.Partitioned()) {
 			return nil
 		}
 		return errNotReady
@@ -179,6 +179,6 @@
 
 // farewell gives the client time to report that the instance has left.
 func (d *daemon) farewell(ctx context.Context) {
-	d.client.Left()
+	d.client.FinishLeaving()
 	clock.Sleep(ctx, farewellTime)
 }
--- a/entry/control/client.go
+++ b/entry/control/client.go
@@ -79,8 +79,8 @@
 	c.leaving.Store(true)
 }
 
-// Left makes the client report that the instance forwards nothing any more.
-func (c *Client) Left() {
+// FinishLeaving makes the client report that the instance forwards nothing any more.
+func (c *Client) FinishLeaving() {
 	c.left.Store(true)
 }
 
@@ -142,7 +142,7 @@
 }
 
 func (c *Client) register(ctx context.Context) error {
-	var out message.Registered
+	var out message.RegisterReply
 	err := c.call(ctx, "register", callTimeout, &c.cfg.Registration, &out,
 		func(ctx context.Context, cc control.DRPCControlClient, f *control.Frame) (*control.Frame, error) {
 			return cc.Register(ctx, f)
@@ -176,12 +176,12 @@
 	e := c.cfg.Engine
 	sent := c.cfg.Clock.Nanos()
 	hb := message.Heartbeat{
-		ID: e.Self(), Term: c.term, Have: e.Version(), Synced: e.Synced(), Busy: e.Busy(sent),
+		ID: e.Self(), Term: c.term, StateVersion: e.Version(), Synced: e.Synced(), Busy: e.Busy(sent),
 		Announcements: c.cfg.Registry.Due(), Exceptions: e.Exceptions(),
 		Leaving: c.leaving.Load(), Left: c.left.Load(), Counts: c.cfg.Stats.TakeCounts(), Wait: true,
 	}
 	timeout := callTimeout
-	if hb.Have == 0 {
+	if hb.StateVersion == 0 {
 		timeout = snapshotTimeout
 	}
 	var r message.HeartbeatReply
--- a/entry/fabric/worker.go
+++ b/entry/fabric/worker.go
@@ -119,7 +119,7 @@
 	if !w.parse(b) {
 		return
 	}
-	v := w.engine.Packet(&w.header, now)
+	v := w.engine.HandlePacket(&w.header, now)
 	w.carryOut(&v, b, from)
 }
 
@@ -143,7 +143,7 @@
 		if !w.parse(payload) {
 			return
 		}
-		v := w.engine.Relayed(&w.message, &w.header, now)
+		v := w.engine.HandleRelayed(&w.message, &w.header, now)
 		w.carryOut(&v, payload, from)
 		return
 	}
--- a/entry/follow/client_test.go
+++ b/entry/follow/client_test.go
@@ -227,7 +227,7 @@
 	s.calls++
 	s.mu.Unlock()
 	for _, u := range s.updates {
-		body, err := cluster.EncodePacked(u)
+		body, err := cluster.EncodeCompressed(u)
 		if err != nil {
 			return err
 		}
@@ -354,11 +354,11 @@
 		r.Listen = netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 18, byte(i >> 8), byte(i)}), 443)
 		d.Routes = append(d.Routes, r)
 	}
-	body, err := cluster.EncodePacked(&message.FollowUpdate{Document: d})
+	body, err := cluster.EncodeCompressed(&message.FollowUpdate{Document: d})
 	require.NoError(t, err)
 	const bound = 1_400_000 / 8 * 350 / 1000
 	require.Less(t, len(body), bound)
 	var u message.FollowUpdate
-	require.NoError(t, cluster.DecodePacked(body, &u))
+	require.NoError(t, cluster.DecodeCompressed(body, &u))
 	require.Equal(t, d, u.Document)
 }
--- a/entry/follow/session.go
+++ b/entry/follow/session.go
@@ -56,7 +56,7 @@
 				return err
 			}
 			var u message.FollowUpdate
-			if err := cluster.DecodePacked(f.GetBody(), &u); err != nil {
+			if err := cluster.DecodeCompressed(f.GetBody(), &u); err != nil {
 				return err
 			}
 			s.take(&u)
@@ -134,7 +134,7 @@
 		c.log.Info().Uint64("version", version).Str("control", s.addr).Msg("document in force")
 	}
 	for _, b := range changed {
-		c.log.Info().Str("backend", b.Name).Str("service", b.Service).Stringer("address", b.Addr).Int64("born", b.Born).
+		c.log.Info().Str("backend", b.Name).Str("service", b.Service).Stringer("address", b.Addr).Int64("born", b.StartedAt).
 			Uint64("sequence", b.Sequence).Bool("draining", b.Draining).Bool("gone", b.Gone).Bool("silent", b.Silent()).
 			Str("control", s.addr).Msg("backend server changed")
 	}
--- a/entry/packet/worker.go
+++ b/entry/packet/worker.go
@@ -58,7 +58,7 @@
 	reasons  []metrics.Counter
 	bad      metrics.Counter
 	unsent   metrics.Counter
-	gauge    overload.Gauge
+	gauge    overload.Detector
 	last     atomic.Int64
 	arena    []byte
 	verdicts []verdict
@@ -130,7 +130,7 @@
 	w.verdicts = w.verdicts[:0]
 	w.router.Do(func(e *token.Engine, now int64) {
 		w.last.Store(now)
-		overloaded := w.gauge.Read(n == udp.BatchSize, now)
+		overloaded := w.gauge.ObserveRead(n == udp.BatchSize, now)
 		if e.SetOverloaded(overloaded) {
 			w.log.Info().Bool("overloaded", overloaded).Int("flows", e.Flows()).Msg("overload changed")
 		}
--- a/entry/packet/worker_test.go
+++ b/entry/packet/worker_test.go
@@ -73,7 +73,7 @@
 		Name: "r", Listen: netip.MustParseAddrPort("198.18.0.1:443"), Targets: []catkinrail.Target{{Service: "logbook", Weight: 1}},
 	}}})
 	e.Update([]token.FollowedBackend{{Incarnation: catkinrail.Incarnation{
-		Name: "i-9", Identity: 9, Born: 1, Service: "logbook", Slots: 2, Zone: "a", Addr: netip.MustParseAddrPort("10.0.0.9:80"),
+		Name: "i-9", Identity: 9, StartedAt: 1, Service: "logbook", Slots: 2, Zone: "a", Addr: netip.MustParseAddrPort("10.0.0.9:80"),
 	}}}, clk.Nanos())
 	e.RecordContact(clk.Nanos())
 	s := &fakeSocket{}
--- a/fake/entry.go
+++ b/fake/entry.go
@@ -116,7 +116,7 @@
 	e.act(func() { e.sendAll(e.Engine.Tick(e.local())) })
 }
 
-func (e *Entry) sendAll(list []route.Send) {
+func (e *Entry) sendAll(list []route.Outgoing) {
 	for _, s := range list {
 		e.net.Stats.ControlBytes += uint64(relay.Overhead + len(s.Payload) + 48)
 		e.transmit(s.To, func(to *Entry) {
@@ -151,21 +151,21 @@
 	}
 	sent := e.local()
 	have := e.Engine.Version()
-	report := plan.Member{Version: have, Synced: e.Engine.Synced(), Busy: e.Engine.Busy(e.local())}
+	report := plan.InstanceStatus{Version: have, Synced: e.Engine.Synced(), Busy: e.Engine.Busy(e.local())}
 	exceptions := e.Engine.Exceptions()
 	n.after(n.jitter(zoneDelay), func() { n.answerHeartbeat(e, sent, report, exceptions) })
 }
 
-func (n *Net) answerHeartbeat(e *Entry, sent int64, report plan.Member, exceptions map[catkinrail.ServiceID][]uint32) {
+func (n *Net) answerHeartbeat(e *Entry, sent int64, report plan.InstanceStatus, exceptions map[catkinrail.ServiceID][]uint32) {
 	if n.State.Instances[e.ID] == nil {
 		e.expelled()
 		return
 	}
 	if e.leaving && e.Engine.Released() {
-		n.Apply(plan.Left(n.State, e.ID))
+		n.Apply(plan.CompleteLeave(n.State, e.ID))
 	}
 	for _, id := range cluster.SortedKeys(exceptions) {
-		n.Apply(plan.Exceptions(n.State, id, exceptions[id]))
+		n.Apply(plan.PrepareExceptions(n.State, id, exceptions[id]))
 	}
 	changes := n.log[report.Version:]
 	n.Stats.ControlBytes += controlOverhead + uint64(n.size(changes)) + uint64(16*len(report.Busy))
@@ -215,7 +215,7 @@
 func (e *Entry) packet(p packet) {
 	e.act(func() {
 		h := ip.Header{Key: p.flow.key, Flags: p.flags}
-		e.carryOut(e.Engine.Packet(&h, e.local()), p)
+		e.carryOut(e.Engine.HandlePacket(&h, e.local()), p)
 	})
 }
 
@@ -237,7 +237,7 @@
 		}
 		e.transmit(to.ID, func(to *Entry) {
 			h := ip.Header{Key: p.flow.key, Flags: p.flags}
-			to.carryOut(to.Engine.Relayed(&v.Message, &h, to.local()), p)
+			to.carryOut(to.Engine.HandleRelayed(&v.Message, &h, to.local()), p)
 		})
 	}
 }
--- a/fake/net.go
+++ b/fake/net.go
@@ -103,7 +103,7 @@
 
 type memberState struct {
 	until  int64
-	member plan.Member
+	member plan.InstanceStatus
 }
 
 type event struct {
@@ -268,7 +268,7 @@
 
 func (n *Net) planTick() {
 	n.after(tickInterval, n.planTick)
-	members := map[catkinrail.InstanceID]plan.Member{}
+	members := map[catkinrail.InstanceID]plan.InstanceStatus{}
 	for id, l := range n.leases {
 		m := l.member
 		m.Leased = n.now < l.until
--- a/routing.go
+++ b/routing.go
@@ -88,8 +88,8 @@
 	State       BackendState     `cbor:"7,keyasint,omitempty"`
 	// Weight scales the backend server's share of buckets, in percent.
 	Weight uint32 `cbor:"8,keyasint"`
-	// Full is the weight that a cold backend server is on its way to.
-	Full uint32 `cbor:"11,keyasint,omitempty"`
+	// FullWeight is the weight that a cold backend server is on its way to.
+	FullWeight uint32 `cbor:"11,keyasint,omitempty"`
 	// Drained is set when an operator asked for the draining; only an operator
 	// ends it.
 	Drained bool `cbor:"9,keyasint,omitempty"`
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -47,9 +47,9 @@
 	return parseWith(file, b, cfg, yaml.Strict())
 }
 
-// ParseOpen is Parse for a format that may gain keys: those that cfg doesn't
+// ParseLenient is Parse for a format that may gain keys: those that cfg doesn't
 // know are passed over.
-func ParseOpen(file string, b []byte, cfg Section) error {
+func ParseLenient(file string, b []byte, cfg Section) error {
 	return parseWith(file, b, cfg)
 }
 
--- a/state/cluster/codec.go
+++ b/state/cluster/codec.go
@@ -83,8 +83,8 @@
 	maxUnpacked = 64 << 20
 )
 
-// EncodePacked returns the encoding of v, compressed if it is large.
-func EncodePacked(v any) ([]byte, error) {
+// EncodeCompressed returns the encoding of v, compressed if it is large.
+func EncodeCompressed(v any) ([]byte, error) {
 	b, err := Encode(v)
 	if err != nil || len(b) < packFrom {
 		return b, err
@@ -104,8 +104,8 @@
 	return out.Bytes(), nil
 }
 
-// DecodePacked reads what EncodePacked has written.
-func DecodePacked(b []byte, v any) error {
+// DecodeCompressed reads what EncodePacked has written.
+func DecodeCompressed(b []byte, v any) error {
 	if len(b) == 0 || b[0] != packedMark {
 		return Decode(b, v)
 	}
--- a/state/directory/directory.go
+++ b/state/directory/directory.go
@@ -130,7 +130,7 @@
 }
 
 func sameState(a, b *catkinrail.Incarnation) bool {
-	return a.Born == b.Born && a.Gone == b.Gone && a.Draining == b.Draining && a.Addr == b.Addr &&
+	return a.StartedAt == b.StartedAt && a.Gone == b.Gone && a.Draining == b.Draining && a.Addr == b.Addr &&
 		a.Service == b.Service && a.Slots == b.Slots && a.Zone == b.Zone
 }
 
@@ -155,7 +155,7 @@
 
 // later reports whether e is the later one of two incarnations with the same address.
 func (e *entry) later(other *entry) bool {
-	if c := cmp.Compare(e.inc.Born, other.inc.Born); c != 0 {
+	if c := cmp.Compare(e.inc.StartedAt, other.inc.StartedAt); c != 0 {
 		return c > 0
 	}
 	return e.inc.Name > other.inc.Name
@@ -173,10 +173,10 @@
 // is zero.
 func (d *Directory) Leave(name string, born, now int64) Outcome {
 	e := d.entries[name]
-	if e == nil || e.inc.Gone || (born != 0 && born < e.inc.Born) {
+	if e == nil || e.inc.Gone || (born != 0 && born < e.inc.StartedAt) {
 		return Ignored
 	}
-	e.inc.Born = max(e.inc.Born, born)
+	e.inc.StartedAt = max(e.inc.StartedAt, born)
 	e.lastReport, e.local = now, true
 	d.end(e)
 	return Changed
@@ -186,10 +186,10 @@
 // renewed state isn't known here, so that the complete report must be fetched.
 func (d *Directory) Renew(name string, born int64, sequence uint64, draining bool, now int64) bool {
 	e := d.entries[name]
-	if e == nil || e.inc.Born < born {
+	if e == nil || e.inc.StartedAt < born {
 		return false
 	}
-	if e.inc.Born != born || e.inc.Gone || e.inc.Sequence >= sequence {
+	if e.inc.StartedAt != born || e.inc.Gone || e.inc.Sequence >= sequence {
 		return true
 	}
 	if e.inc.Draining != draining {
@@ -210,7 +210,7 @@
 	var silent []string
 	for name, e := range d.entries {
 		age := now - e.lastReport
-		if (e.inc.Gone || e.silent) && age > int64(catkinrail.KeepEnded) {
+		if (e.inc.Gone || e.silent) && age > int64(catkinrail.EndedRetention) {
 			delete(d.entries, name)
 			if d.byAddr[e.inc.Addr] == name {
 				delete(d.byAddr, e.inc.Addr)
@@ -306,7 +306,7 @@
 	var b []byte
 	for name, e := range d.entries {
 		b = append(b[:0], name...)
-		b = binary.LittleEndian.AppendUint64(b, uint64(e.inc.Born))
+		b = binary.LittleEndian.AppendUint64(b, uint64(e.inc.StartedAt))
 		b = append(b, boolByte(e.inc.Gone), boolByte(e.inc.Draining))
 		sum ^= xxh3.Hash(b)
 	}
--- a/state/directory/directory_test.go
+++ b/state/directory/directory_test.go
@@ -26,7 +26,7 @@
 
 func report(name string, born int64, sequence uint64, addr int) catkinrail.Incarnation {
 	return catkinrail.Incarnation{
-		Name: name, Identity: 1, Born: born, Sequence: sequence, Service: "logbook", Slots: 2, Zone: "a",
+		Name: name, Identity: 1, StartedAt: born, Sequence: sequence, Service: "logbook", Slots: 2, Zone: "a",
 		Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(addr)}), 80),
 	}
 }
@@ -39,7 +39,7 @@
 func apply(d *directory.Directory, list []change, now int64) {
 	for i := range list {
 		if list[i].leave {
-			d.Leave(list[i].inc.Name, list[i].inc.Born, now)
+			d.Leave(list[i].inc.Name, list[i].inc.StartedAt, now)
 			continue
 		}
 		d.Report(&list[i].inc, now, true)
@@ -78,7 +78,7 @@
 				if inc.Gone {
 					continue
 				}
-				live[inc.Name] = inc.Born
+				live[inc.Name] = inc.StartedAt
 				if inc.Draining {
 					drains = append(drains, inc.Name)
 				}
@@ -175,7 +175,7 @@
 	live := map[string]int64{}
 	for _, inc := range d.All(1) {
 		if !inc.Gone {
-			live[inc.Name] = inc.Born
+			live[inc.Name] = inc.StartedAt
 		}
 	}
 	return live
--- a/state/journal/journal.go
+++ b/state/journal/journal.go
@@ -361,8 +361,8 @@
 	return j.size
 }
 
-// Full reports whether the log should be replaced by a snapshot.
-func (j *Journal) Full() bool {
+// NeedsSnapshot reports whether the log should be replaced by a snapshot.
+func (j *Journal) NeedsSnapshot() bool {
 	return j.size >= maxSegment
 }
 
--- a/token.go
+++ b/token.go
@@ -50,9 +50,9 @@
 	Name string `cbor:"1,keyasint"`
 	// Identity is the number that packets for it are addressed with.
 	Identity uint64 `cbor:"2,keyasint"`
-	// Born is the start of this life, in milliseconds since the epoch. It orders
+	// StartedAt is the start of this life, in milliseconds since the epoch. It orders
 	// the incarnations of a name and of an address.
-	Born int64 `cbor:"3,keyasint"`
+	StartedAt int64 `cbor:"3,keyasint"`
 	// Sequence orders the reports of one incarnation.
 	Sequence uint64         `cbor:"4,keyasint"`
 	Service  string         `cbor:"5,keyasint"`
@@ -80,8 +80,8 @@
 
 // Newer reports whether i replaces o, which was reported under the same name.
 func (i *Incarnation) Newer(o *Incarnation) bool {
-	if i.Born != o.Born {
-		return i.Born > o.Born
+	if i.StartedAt != o.StartedAt {
+		return i.StartedAt > o.StartedAt
 	}
 	if i.Gone != o.Gone {
 		return i.Gone
@@ -92,9 +92,9 @@
 	return i.Draining && !o.Draining
 }
 
-// KeepEnded is how long an incarnation that is gone or silent is kept in mind. It
+// EndedRetention is how long an incarnation that is gone or silent is kept in mind. It
 // exceeds the age of any flow that may still name it.
-const KeepEnded = 10 * time.Minute
+const EndedRetention = 10 * time.Minute
 
 // BackendRegistry takes what backend servers say of themselves.
 type BackendRegistry interface {
