--- a/ctl/report/report_test.go
+++ b/ctl/report/report_test.go
@@ -31,12 +31,12 @@
 		Flows: 4, Repeated: 1, Refused: 2, NoRoute: 1, Dropped: 1, Skipped: 7,
 		Reasons: map[string]uint64{"no-backend": 2, "unknown-token": 1},
 	}, r.Total)
-	require.InDelta(t, 500.0, r.RefusedBurn, 1e-9, "half of the flows, where a thousandth is allowed")
+	require.InDelta(t, 500.0, r.RefusedBurn, 1e-9, "half of the flows, where one in a thousand is allowed")
 	require.InDelta(t, 1.0, r.RepeatedBurn, 1e-9)
 	require.Len(t, r.Seconds, 4)
 	require.Equal(t, "backend servers silent", r.Seconds[0].Events[0].Message)
 	worst := r.Worst(5)
-	require.Len(t, worst, 2, "a second without a bad flow is none of the worst")
+	require.Len(t, worst, 2, "a second without bad flows or packets is not listed")
 	require.Equal(t, time.Date(2026, 1, 1, 0, 0, 3, 0, time.UTC), worst[0].Time)
 	require.Equal(t, "no-backend, unknown-token", worst[0].ReasonText())
 }
