--- a/ctl/explain/explain.go
+++ b/ctl/explain/explain.go
@@ -1,4 +1,4 @@
-// Package explain finds the log lines that tell why a flow went where it did.
+// Package explain finds the log lines that explain how a flow was routed.
 package explain
 
 import (
@@ -11,14 +11,15 @@
 )
 
 // ErrNoFlow means that no line names the flow: its packets never reached an entry
-// instance whose log was given, or its line was left out by the budget.
-var ErrNoFlow = errors.New("no line names this flow")
+// instance whose log was given, or its lines were left out to limit the log's rate.
+var ErrNoFlow = errors.New("no log line names this flow")
 
-// Explain returns, in order of time, the decisions about a flow, named by the
-// caller's address and port, and what changed the beliefs behind them within
-// span before the first and after the last: of the backend servers concerned, at
-// control instances and the entry instances concerned, and of the document and
-// of control, at the latter.
+// Explain returns, in order of time, the lines with decisions about a flow, which
+// is named by the caller's address and port, and the lines that may explain them,
+// from span before the first decision to span after the last. These are lines about
+// the backend servers that the flow was sent to, from control instances and from the
+// entry instances that handled the flow, and lines about the document and the
+// followed control instance, from those entry instances.
 func Explain(lines []logfile.Line, caller string, span time.Duration) ([]logfile.Line, error) {
 	var first, last time.Time
 	instances, backends := map[string]bool{}, map[string]bool{}
@@ -48,8 +49,8 @@
 		if l.Time.Before(from) || l.Time.After(to) || (l.Flow != "" && !l.Of(caller)) {
 			continue
 		}
-		about := concerns(l, backends) && (!l.Entry() || instances[l.Instance])
-		if l.Of(caller) || about || (instances[l.Instance] && (l.Document() || l.Followed())) {
+		aboutBackend := namesAny(l, backends) && (!l.Entry() || instances[l.Instance])
+		if l.Of(caller) || aboutBackend || (instances[l.Instance] && (l.Document() || l.Followed())) {
 			found = append(found, *l)
 		}
 	}
@@ -59,8 +60,8 @@
 	return found, nil
 }
 
-// concerns reports whether the line is about one of the backend servers.
-func concerns(l *logfile.Line, backends map[string]bool) bool {
+// namesAny reports whether the line names one of the backend servers.
+func namesAny(l *logfile.Line, backends map[string]bool) bool {
 	for b := range backends {
 		if l.Names(b) {
 			return true
--- a/ctl/explain/explain_test.go
+++ b/ctl/explain/explain_test.go
@@ -33,10 +33,10 @@
 		want         []string
 		err          error
 	}{
-		{"a flow", "100.64.0.7:40001", []string{"document in force", "backend server changed", "flow", "backend servers silent"}, nil},
-		{"a flow at another instance", "100.64.0.7:40002", []string{"backend server changed", "flow", "backend servers silent"}, nil},
-		{"part of a port", "100.64.0.7:4000", nil, explain.ErrNoFlow},
-		{"nobody", "100.64.0.8:1", nil, explain.ErrNoFlow},
+		{"one instance", "100.64.0.7:40001", []string{"document in force", "backend server changed", "flow", "backend servers silent"}, nil},
+		{"another instance", "100.64.0.7:40002", []string{"backend server changed", "flow", "backend servers silent"}, nil},
+		{"prefix of a port", "100.64.0.7:4000", nil, explain.ErrNoFlow},
+		{"unknown caller", "100.64.0.8:1", nil, explain.ErrNoFlow},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
