--- a/ctl/explain/explain.go
+++ b/ctl/explain/explain.go
@@ -25,7 +25,7 @@
 	instances, backends := map[string]bool{}, map[string]bool{}
 	for i := range lines {
 		l := &lines[i]
-		if !l.Of(caller) {
+		if !l.IsFlowOf(caller) {
 			continue
 		}
 		if first.IsZero() || l.Time.Before(first) {
@@ -46,11 +46,11 @@
 	var found []logfile.Line
 	for i := range lines {
 		l := &lines[i]
-		if l.Time.Before(from) || l.Time.After(to) || (l.Flow != "" && !l.Of(caller)) {
+		if l.Time.Before(from) || l.Time.After(to) || (l.Flow != "" && !l.IsFlowOf(caller)) {
 			continue
 		}
-		aboutBackend := namesAny(l, backends) && (!l.Entry() || instances[l.Instance])
-		if l.Of(caller) || aboutBackend || (instances[l.Instance] && (l.Document() || l.Followed())) {
+		aboutBackend := namesAny(l, backends) && (!l.FromEntryInstance() || instances[l.Instance])
+		if l.IsFlowOf(caller) || aboutBackend || (instances[l.Instance] && (l.AboutDocument() || l.AboutControl())) {
 			found = append(found, *l)
 		}
 	}
@@ -63,7 +63,7 @@
 // namesAny reports whether the line names one of the backend servers.
 func namesAny(l *logfile.Line, backends map[string]bool) bool {
 	for b := range backends {
-		if l.Names(b) {
+		if l.NamesBackend(b) {
 			return true
 		}
 	}
--- a/ctl/logfile/logfile.go
+++ b/ctl/logfile/logfile.go
@@ -1,4 +1,4 @@
-// Package logfile reads the log files of instances.
+// Package logfile parses the log files of instances.
 package logfile
 
 import (
@@ -14,41 +14,44 @@
 	"catkinrail.example/catkinrail"
 )
 
-// maxLine bounds a log line in bytes.
-const maxLine = 1 << 20
+// maxLineBytes limits a log line. A longer line ends reading with an error.
+const maxLineBytes = 1 << 20
 
-// entryProgram is the program of an entry instance.
+// entryProgram is the program name that entry instances log.
 const entryProgram = "catkinrail-entry"
 
 // MessageFlow is the message of a line about a decision on a flow.
 const MessageFlow = "flow"
 
-// Line is a line of a log.
+// Line is one parsed line of a log.
 type Line struct {
 	Time     time.Time `json:"time"`
 	Program  string    `json:"program"`
 	Instance string    `json:"instance"`
 	Message  string    `json:"message"`
-	// Flow, Action, Reason and Copy are those of a decision on a packet.
+	// Flow, Action, Reason and Copy are set on a line about a decision on a packet.
 	Flow   string `json:"flow"`
 	Action string `json:"action"`
 	Reason string `json:"reason"`
-	// Copy numbers the copies of an opening packet; zero is the first.
+	// Copy is the number of opening packets that the caller sent before this one: 0
+	// for the first.
 	Copy uint32 `json:"copy"`
-	// Skipped is the number of lines that were left out before this one.
+	// Skipped is the number of lines left out before this one to limit the log's rate.
 	Skipped  uint64   `json:"skipped"`
 	Backend  string   `json:"backend"`
 	Backends []string `json:"backends"`
 	Version  *uint64  `json:"version"`
 	Control  string   `json:"control"`
-	// Text holds all fields but time, instance, message, level and program.
+	// Text lists the fields other than omittedFields as name=value, sorted and
+	// separated by spaces.
 	Text string `json:"-"`
 }
 
-// hidden are the fields that are not in a line's text.
-var hidden = []string{"time", "instance", "message", "level", "program"}
+// omittedFields are the fields that Line.Text leaves out.
+var omittedFields = []string{"time", "instance", "message", "level", "program"}
 
-// ReadFiles reads the lines of several files.
+// ReadFiles reads the lines of several files, in the order of the names. Errors name
+// the file.
 func ReadFiles(names []string) ([]Line, error) {
 	var lines []Line
 	for _, name := range names {
@@ -70,12 +73,12 @@
 	return Read(f)
 }
 
-// Read reads the lines of a log. What precedes the JSON on a line, and lines
-// without any, are passed over.
+// Read reads the lines of a log. It ignores text before the JSON object of a line,
+// and lines without a valid object that names an instance.
 func Read(r io.Reader) ([]Line, error) {
 	var list []Line
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		_, text, found := strings.Cut(s.Text(), "{")
 		if !found {
@@ -97,7 +100,7 @@
 	if json.Unmarshal(b, &fields) != nil {
 		return Line{}, false
 	}
-	for _, name := range hidden {
+	for _, name := range omittedFields {
 		delete(fields, name)
 	}
 	var parts []string
@@ -109,28 +112,29 @@
 	return line, true
 }
 
-// Of reports whether the line is a decision about a flow of the caller, given as
-// address and port.
-func (l *Line) Of(caller string) bool {
+// IsFlowOf reports whether the line is a decision about a flow of the caller. The
+// caller is given as address and port.
+func (l *Line) IsFlowOf(caller string) bool {
 	return l.Flow == caller || strings.HasPrefix(l.Flow, caller+">")
 }
 
-// Names reports whether the line is about the backend server.
-func (l *Line) Names(backend string) bool {
+// NamesBackend reports whether the line names the backend server.
+func (l *Line) NamesBackend(backend string) bool {
 	return l.Backend == backend || slices.Contains(l.Backends, backend)
 }
 
-// Entry reports whether an entry instance wrote the line.
-func (l *Line) Entry() bool {
+// FromEntryInstance reports whether an entry instance wrote the line.
+func (l *Line) FromEntryInstance() bool {
 	return l.Program == entryProgram
 }
 
-// Document reports whether the line tells of a document.
-func (l *Line) Document() bool {
+// AboutDocument reports whether the line is about a version of the document.
+func (l *Line) AboutDocument() bool {
 	return l.Version != nil && strings.HasPrefix(l.Message, "document")
 }
 
-// Followed reports whether the line tells of the control instance that is followed.
-func (l *Line) Followed() bool {
+// AboutControl reports whether the line is about the control instance that an entry
+// instance follows.
+func (l *Line) AboutControl() bool {
 	return l.Control != "" && l.Backend == ""
 }
