--- a/ctl/control/client.go
+++ b/ctl/control/client.go
@@ -1,4 +1,4 @@
-// Package control speaks to the control instances on behalf of an operator.
+// Package control calls the control instances on behalf of an operator.
 package control
 
 import (
@@ -18,21 +18,22 @@
 
 // Timing of calls.
 const (
-	// attemptTimeout bounds one attempt at one control instance.
+	// attemptTimeout limits one attempt at one control instance.
 	attemptTimeout = 3 * time.Second
-	retryPause     = 100 * time.Millisecond
+	// retryDelay is the delay between rounds of attempts at all control instances.
+	retryDelay = 100 * time.Millisecond
 )
 
-// ErrUnknown means that a change may or may not have run.
+// ErrUnknown means that a call got no definite answer and may have run.
 var ErrUnknown = errors.New("outcome unknown")
 
-// Client makes calls to whichever control instance can answer.
+// Client makes calls to the control instances.
 type Client struct {
 	clients []*rpc.Client
 	timeout time.Duration
 }
 
-// New returns a client that gives up after timeout.
+// New returns a client of the control instances at addrs. Call gives up after timeout.
 func New(addrs []string, creds *rpc.Credentials, timeout time.Duration) *Client {
 	c := &Client{timeout: timeout}
 	for _, addr := range addrs {
@@ -41,14 +42,15 @@
 	return c
 }
 
-// Call makes the call at one control instance after the other until one
-// answers. The call must be idempotent: a change carries its request identifier,
-// so that sending it again can't run it twice. If an attempt may have reached a
-// leader and no answer came in the end, the error is ErrUnknown.
+// Call attempts the call at one control instance after the other until one gives a
+// definite answer or the client's timeout has passed. The codes NOT_LEADER and
+// UNKNOWN are not definite. The call must be idempotent: a change carries its request
+// identifier, so that sending it again can't run it twice. If Call gives up and an
+// attempt may have reached a leader, the error wraps ErrUnknown.
 func (c *Client) Call(ctx context.Context, step string, f func(context.Context, api.DRPCOperatorClient) error) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	var last error
+	var lastErr error
 	uncertain := false
 	for i := 0; ctx.Err() == nil; i++ {
 		cl := c.clients[i%len(c.clients)]
@@ -65,51 +67,54 @@
 		if code != api.Code_NOT_LEADER && !neverSent(err) {
 			uncertain = true
 		}
-		last = err
+		lastErr = err
 		if (i+1)%len(c.clients) == 0 {
-			clock.Sleep(ctx, retryPause)
+			clock.Sleep(ctx, retryDelay)
 		}
 	}
 	if uncertain {
-		return fmt.Errorf("%w: %w", ErrUnknown, last)
+		return fmt.Errorf("%w: %w", ErrUnknown, lastErr)
 	}
-	return last
+	return lastErr
 }
 
-// Each makes the call at every control instance. It returns the errors of those that
-// didn't answer, and fails if none did.
-func (c *Client) Each(ctx context.Context, step string, f func(context.Context, api.DRPCOperatorClient) error) (missing []error, err error) {
+// Each makes the call once at every control instance. It returns the errors of the
+// calls that failed, or an error that joins them if all failed.
+func (c *Client) Each(ctx context.Context, step string, f func(context.Context, api.DRPCOperatorClient) error) (failures []error, err error) {
 	for _, cl := range c.clients {
 		err := cl.Call(ctx, step, min(attemptTimeout, c.timeout), func(ctx context.Context, conn drpc.Conn) error {
 			return f(ctx, api.NewDRPCOperatorClient(conn))
 		})
 		if err != nil {
-			missing = append(missing, err)
+			failures = append(failures, err)
 		}
 	}
-	if len(missing) == len(c.clients) {
-		return nil, errors.Join(missing...)
+	if len(failures) == len(c.clients) {
+		return nil, errors.Join(failures...)
 	}
-	return missing, nil
+	return failures, nil
 }
 
-// neverSent reports whether the call failed before it reached the peer.
+// neverSent reports whether connecting to the peer failed, so that the call was not
+// sent.
 func neverSent(err error) bool {
 	text := err.Error()
 	return strings.Contains(text, "dial:") || strings.Contains(text, "handshake:")
 }
 
-// Stream runs f with a connection that stays open until ctx ends.
+// Stream runs f at one control instance after the other, each until f returns, and
+// returns the last error. If ctx ends, Stream returns nil.
 func (c *Client) Stream(ctx context.Context, f func(context.Context, api.DRPCOperatorClient) error) error {
-	var last error
+	var lastErr error
 	for _, cl := range c.clients {
-		const forever = 365 * 24 * time.Hour
-		last = cl.Call(ctx, "watch", forever, func(ctx context.Context, conn drpc.Conn) error {
+		// A stream has no time limit, but rpc.Client.Call requires one.
+		const streamTimeout = 365 * 24 * time.Hour
+		lastErr = cl.Call(ctx, "watch", streamTimeout, func(ctx context.Context, conn drpc.Conn) error {
 			return f(ctx, api.NewDRPCOperatorClient(conn))
 		})
 		if ctx.Err() != nil {
 			return nil
 		}
 	}
-	return last
+	return lastErr
 }
