--- a/ctl/commands/backend_drain.go
+++ b/ctl/commands/backend_drain.go
@@ -7,7 +7,7 @@
 )
 
 func backendDrain(a *App) {
-	a.backendChange("drain", "Give a backend server no new flows; it keeps those it has.", api.DRPCOperatorClient.DrainBackendServer)
+	a.backendChange("drain", "Send no new flows to a backend server; it keeps its open flows.", api.DRPCOperatorClient.DrainBackendServer)
 }
 
 // backendChange registers a command that changes one backend server.
@@ -19,7 +19,7 @@
 	service := c.Arg("service", "Name of the service.").Required().String()
 	name := c.Arg("name", "Name of the backend server.").Required().String()
 	f.register(c)
-	a.add(c, func(ctx context.Context) error {
+	a.handle(c, func(ctx context.Context) error {
 		return a.runChange(ctx, verb+" backend server", &f,
 			func(ctx context.Context, c api.DRPCOperatorClient, change *api.Change) (*api.ChangeReply, error) {
 				return send(c, ctx, &api.BackendServerRequest{Change: change, Service: *service, Name: *name})
--- a/ctl/commands/backend_list.go
+++ b/ctl/commands/backend_list.go
@@ -10,8 +10,8 @@
 
 func backendList(a *App) {
 	c := a.group("backend", "Backend servers.").Command("list", "List the backend servers.")
-	service := c.Arg("service", "Name of the service; all if it's left out.").String()
-	a.add(c, func(ctx context.Context) error {
+	service := c.Arg("service", "Name of the service; all services if omitted.").String()
+	a.handle(c, func(ctx context.Context) error {
 		var list *api.BackendServerList
 		err := a.client.Call(ctx, "list backend servers", func(ctx context.Context, c api.DRPCOperatorClient) (err error) {
 			list, err = c.ListBackendServers(ctx, &api.NameRequest{Name: *service})
--- a/ctl/commands/backend_readmit.go
+++ b/ctl/commands/backend_readmit.go
@@ -3,5 +3,5 @@
 import "catkinrail.example/catkinrail/protocol/api"
 
 func backendReadmit(a *App) {
-	a.backendChange("readmit", "End a drain.", api.DRPCOperatorClient.ReadmitBackendServer)
+	a.backendChange("readmit", "End the drain of a backend server, so that it takes new flows again.", api.DRPCOperatorClient.ReadmitBackendServer)
 }
--- a/ctl/commands/burn.go
+++ b/ctl/commands/burn.go
@@ -10,9 +10,9 @@
 
 func burnReport(a *App) {
 	c := a.kingpin.Command("burn", "Show how much of each service's error budget is spent.")
-	service := c.Arg("service", "Name of the service; all if it's left out.").String()
+	service := c.Arg("service", "Name of the service; all services if omitted.").String()
 	html := c.Flag("html", "Write an HTML page with plots to this file.").String()
-	a.add(c, func(ctx context.Context) error {
+	a.handle(c, func(ctx context.Context) error {
 		var r *api.BurnReply
 		err := a.client.Call(ctx, "burn report", func(ctx context.Context, c api.DRPCOperatorClient) (err error) {
 			r, err = c.Burn(ctx, &api.NameRequest{Name: *service})
--- a/ctl/commands/check.go
+++ b/ctl/commands/check.go
@@ -10,7 +10,7 @@
 	"catkinrail.example/catkinrail/settings"
 )
 
-// serviceFile is a file that describes services.
+// serviceFile is the content of a file that describes services.
 type serviceFile struct {
 	Services []serviceEntry `yaml:"services"`
 }
@@ -58,12 +58,12 @@
 func checkSettings(a *App) {
 	c := a.kingpin.Command("check", "Check a file that describes services, without sending it.")
 	file := c.Arg("file", "YAML file.").Required().String()
-	a.add(c, func(context.Context) error {
+	a.handle(c, func(context.Context) error {
 		var f serviceFile
 		if err := settings.Load(*file, &f); err != nil {
 			return fmt.Errorf("%w: %w", errInvalid, err)
 		}
-		fmt.Fprintf(a.out, "%s: %d services are right\n", *file, len(f.Services))
+		fmt.Fprintf(a.out, "%s: %d services are valid\n", *file, len(f.Services))
 		return nil
 	})
 }
--- a/ctl/commands/commands.go
+++ b/ctl/commands/commands.go
@@ -1,4 +1,4 @@
-// Package commands holds the operators' commands, one file each.
+// Package commands implements the commands of catkinctl, one file each.
 package commands
 
 import (
@@ -27,18 +27,18 @@
 	ExitOK = 0
 	// ExitFailed means that the command failed; nothing was changed.
 	ExitFailed = 1
-	// ExitInvalid means that an argument is wrong; nothing was changed.
+	// ExitInvalid means that an argument is invalid; nothing was changed.
 	ExitInvalid = 2
-	// ExitConflict means that the state has another version than expected, or
-	// that another request was first; nothing was changed.
+	// ExitConflict means that the change conflicts with the state, such as another
+	// version than expected or a name that exists; nothing was changed.
 	ExitConflict = 3
-	// ExitUnknown means that the change may have run.
+	// ExitUnknown means that the call got no definite answer; a change may have run.
 	ExitUnknown = 4
 )
 
 const defaultTimeout = 10 * time.Second
 
-// App is the command line.
+// App is the command line of catkinctl.
 type App struct {
 	out, errOut io.Writer
 	kingpin     *kingpin.Application
@@ -46,15 +46,15 @@
 	timeout     time.Duration
 	output      string
 	tls         rpc.TLSSettings
-	runs        map[string]func(context.Context) error
+	handlers    map[string]func(context.Context) error
 	client      *control.Client
 }
 
-// command registers one command with the command line.
+// command registers a command with the app.
 type command func(*App)
 
-// all lists the commands in the order of the help text.
-var all = []command{
+// allCommands lists the commands in the order of the help text.
+var allCommands = []command{
 	serviceCreate, serviceChange, serviceDelete, serviceList, serviceShow,
 	backendList, backendDrain, backendReadmit,
 	instanceList, instanceRemove,
@@ -65,35 +65,35 @@
 // offline names the commands that need no control instance.
 var offline = map[string]bool{"check": true, "explain": true, "report": true}
 
-// New returns the command line with all commands.
+// New returns an app with all commands, which writes to out and errOut.
 func New(out, errOut io.Writer) *App {
-	a := &App{out: out, errOut: errOut, runs: map[string]func(context.Context) error{}}
-	a.kingpin = kingpin.New("catkinctl", "Drives a catkinrail load balancer.\n\n"+
-		"Exit codes: 0 done, 1 failed and nothing changed, 2 an argument is wrong and nothing changed, "+
-		"3 conflict and nothing changed, 4 outcome unknown: ask with 'catkinctl outcome' or repeat with the same --request.")
+	a := &App{out: out, errOut: errOut, handlers: map[string]func(context.Context) error{}}
+	a.kingpin = kingpin.New("catkinctl", "Operates a catkinrail load balancer.\n\n"+
+		"Exit codes: 0 done, 1 failed and nothing changed, 2 an argument is invalid and nothing changed, "+
+		"3 conflict and nothing changed, 4 outcome unknown: check with 'catkinctl outcome' or retry with the same --request.")
 	a.kingpin.UsageWriter(out).ErrorWriter(errOut)
-	a.kingpin.Flag("control", "Address of a control instance; repeat it for all.").Short('c').
+	a.kingpin.Flag("control", "Address of a control instance; repeat the flag for each.").Short('c').
 		Envar("CATKINCTL_CONTROL").Default("127.0.0.1:7100").StringsVar(&a.addrs)
-	a.kingpin.Flag("timeout", "Time after which to give up.").Default(defaultTimeout.String()).DurationVar(&a.timeout)
+	a.kingpin.Flag("timeout", "Time after which to give up a call.").Default(defaultTimeout.String()).DurationVar(&a.timeout)
 	a.kingpin.Flag("output", "Output format.").Short('o').Default("text").EnumVar(&a.output, "text", "json")
-	a.kingpin.Flag("ca", "File of the authority's certificate.").Envar("CATKINCTL_CA").StringVar(&a.tls.CA)
+	a.kingpin.Flag("ca", "File of the certificate authority's certificate.").Envar("CATKINCTL_CA").StringVar(&a.tls.CA)
 	a.kingpin.Flag("certificate", "File of the operator's certificate.").Envar("CATKINCTL_CERTIFICATE").StringVar(&a.tls.Certificate)
 	a.kingpin.Flag("key", "File of the operator's key.").Envar("CATKINCTL_KEY").StringVar(&a.tls.Key)
-	a.kingpin.Flag("insecure", "Use no TLS; for trials on loopback only.").Envar("CATKINCTL_INSECURE").BoolVar(&a.tls.Insecure)
-	a.kingpin.Flag("trusted-network", "Use no TLS; the network must keep others out.").
+	a.kingpin.Flag("insecure", "Use no TLS; for tests on loopback only.").Envar("CATKINCTL_INSECURE").BoolVar(&a.tls.Insecure)
+	a.kingpin.Flag("trusted-network", "Use no TLS; only for a network that keeps others out.").
 		Envar("CATKINCTL_TRUSTED_NETWORK").BoolVar(&a.tls.TrustedNetwork)
-	for _, register := range all {
+	for _, register := range allCommands {
 		register(a)
 	}
 	return a
 }
 
-// add registers a command's clause and what it runs.
-func (a *App) add(c *kingpin.CmdClause, run func(context.Context) error) {
-	a.runs[c.FullCommand()] = run
+// handle sets the function that runs a command.
+func (a *App) handle(c *kingpin.CmdClause, run func(context.Context) error) {
+	a.handlers[c.FullCommand()] = run
 }
 
-// group returns the clause of a group of commands.
+// group returns the clause of a group of commands. It adds the clause on first use.
 func (a *App) group(name, help string) *kingpin.CmdClause {
 	if c := a.kingpin.GetCommand(name); c != nil {
 		return c
@@ -114,7 +114,7 @@
 			return ExitInvalid
 		}
 	}
-	if err := a.runs[name](ctx); err != nil {
+	if err := a.handlers[name](ctx); err != nil {
 		fmt.Fprintf(a.errOut, "catkinctl: %v\n", err)
 		return exitCode(err)
 	}
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// errInvalid marks a wrong argument.
+// errInvalid marks an invalid argument.
 var errInvalid = errors.New("invalid argument")
 
 func exitCode(err error) int {
@@ -154,7 +154,7 @@
 	return ExitFailed
 }
 
-// print writes a reply as JSON, or as text by the given function.
+// print writes a reply in the output format: as JSON, or by the function text.
 func (a *App) print(m proto.Message, text func(io.Writer)) error {
 	if a.output == "json" {
 		b, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(m)
@@ -174,7 +174,7 @@
 	return enc.Encode(v)
 }
 
-// changeFlags are the flags of every command that changes something.
+// changeFlags are the flags of the commands that change the state.
 type changeFlags struct {
 	request string
 	expect  uint64
@@ -182,17 +182,17 @@
 }
 
 func (f *changeFlags) register(c *kingpin.CmdClause) {
-	c.Flag("request", "Identifier of the request; repeat a request with the same one.").StringVar(&f.request)
-	c.Flag("expect", "Refuse unless the state has this version.").Uint64Var(&f.expect)
-	c.Flag("dry-run", "Show what would change.").BoolVar(&f.dryRun)
+	c.Flag("request", "Identifier of the request; use the same one to retry a request.").StringVar(&f.request)
+	c.Flag("expect", "Refuse the change unless the state has this version.").Uint64Var(&f.expect)
+	c.Flag("dry-run", "Show what would change, without changing it.").BoolVar(&f.dryRun)
 }
 
-// requestBytes is the length of a random request identifier.
+// requestBytes is the length of a random request identifier before encoding.
 const requestBytes = 12
 
-// change returns the request's identification, with a random identifier unless
-// the operator gave one.
-func (f *changeFlags) change() (*api.Change, error) {
+// newChange returns the identification of a change request, with a random identifier
+// unless the operator gave one.
+func (f *changeFlags) newChange() (*api.Change, error) {
 	if f.request == "" {
 		b := make([]byte, requestBytes)
 		if _, err := rand.Read(b); err != nil {
@@ -203,11 +203,11 @@
 	return &api.Change{Request: f.request, Expect: f.expect, DryRun: f.dryRun}, nil
 }
 
-// runChange sends a change until it is answered and prints the answer.
+// runChange sends a change, with retries, and prints the reply.
 func (a *App) runChange(ctx context.Context, step string, f *changeFlags,
 	send func(context.Context, api.DRPCOperatorClient, *api.Change) (*api.ChangeReply, error),
 ) error {
-	change, err := f.change()
+	change, err := f.newChange()
 	if err != nil {
 		return err
 	}
@@ -217,7 +217,7 @@
 		return err
 	})
 	if errors.Is(err, control.ErrUnknown) {
-		return fmt.Errorf("%w; ask with: catkinctl outcome %s", err, change.Request)
+		return fmt.Errorf("%w; check with: catkinctl outcome %s", err, change.Request)
 	}
 	if err != nil {
 		return err
--- a/ctl/commands/explain.go
+++ b/ctl/commands/explain.go
@@ -10,16 +10,17 @@
 	"catkinrail.example/catkinrail/ctl/logfile"
 )
 
-// explainTime is how the times of lines are printed.
-const explainTime = "15:04:05.000"
+// lineTimeFormat is the format in which the times of log lines are printed.
+const lineTimeFormat = "15:04:05.000"
 
-// explainFlow prints the decisions about a flow from log files.
+// explainFlow registers the command that prints the decisions about a flow from log
+// files.
 func explainFlow(a *App) {
-	c := a.kingpin.Command("explain", "Show from log files why a caller's flow went where it did.")
+	c := a.kingpin.Command("explain", "Show from log files how a caller's flow was routed and why.")
 	caller := c.Arg("caller", "Address and port of the caller.").Required().String()
-	files := c.Arg("log", "Log file of an instance; give those of all.").Required().ExistingFiles()
-	span := c.Flag("span", "How far before and after the flow to look for changes.").Default("10s").Duration()
-	a.runs[c.FullCommand()] = func(context.Context) error {
+	files := c.Arg("log", "Log file of an instance; list the files of all instances.").Required().ExistingFiles()
+	span := c.Flag("span", "How long before and after the flow to look for changes.").Default("10s").Duration()
+	a.handlers[c.FullCommand()] = func(context.Context) error {
 		lines, err := logfile.ReadFiles(*files)
 		if err != nil {
 			return err
@@ -30,7 +31,7 @@
 		}
 		w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
 		for _, l := range found {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", l.Time.Format(explainTime), l.Instance, l.Message, l.Text)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", l.Time.Format(lineTimeFormat), l.Instance, l.Message, l.Text)
 		}
 		return w.Flush()
 	}
--- a/ctl/commands/instance_list.go
+++ b/ctl/commands/instance_list.go
@@ -10,8 +10,8 @@
 )
 
 func instanceList(a *App) {
-	c := a.group("instance", "Entry instances.").Command("list", "List the entry instances and what each has in force.")
-	a.add(c, func(ctx context.Context) error {
+	c := a.group("instance", "Entry instances.").Command("list", "List the entry instances and the version that each has in force.")
+	a.handle(c, func(ctx context.Context) error {
 		var list *api.InstanceList
 		err := a.client.Call(ctx, "list instances", func(ctx context.Context, c api.DRPCOperatorClient) (err error) {
 			list, err = c.ListInstances(ctx, &api.Empty{})
--- a/ctl/commands/outcome.go
+++ b/ctl/commands/outcome.go
@@ -9,9 +9,9 @@
 )
 
 func outcome(a *App) {
-	c := a.kingpin.Command("outcome", "Tell whether a request ran. One that is reported as not run never will.")
+	c := a.kingpin.Command("outcome", "Show whether a request ran. A request that is reported as not run never will.")
 	request := c.Arg("request", "Identifier of the request.").Required().String()
-	a.add(c, func(ctx context.Context) error {
+	a.handle(c, func(ctx context.Context) error {
 		var r *api.ChangeReply
 		err := a.client.Call(ctx, "outcome", func(ctx context.Context, c api.DRPCOperatorClient) (err error) {
 			r, err = c.Outcome(ctx, &api.OutcomeRequest{Request: *request})
--- a/ctl/commands/report.go
+++ b/ctl/commands/report.go
@@ -14,21 +14,22 @@
 const (
 	defaultRefusedPerMillion  = "1000"
 	defaultRepeatedPerMillion = "10000"
-	defaultWorst              = "10"
-	// maxEvents is the number of events that are printed for a second.
-	maxEvents = 5
+	defaultWorstSeconds       = "10"
+	// maxEventsPerSecond limits the events that are printed for a second.
+	maxEventsPerSecond = 5
 )
 
-// logReport reports from log files what callers got.
+// logReport registers the command that reports from log files how callers were
+// served.
 func logReport(a *App) {
-	c := a.kingpin.Command("report", "Show from log files what callers got, and the worst seconds.")
-	files := c.Arg("log", "Log file of an instance; give those of all.").Required().ExistingFiles()
+	c := a.kingpin.Command("report", "Show from log files how callers were served, and the worst seconds.")
+	files := c.Arg("log", "Log file of an instance; list the files of all instances.").Required().ExistingFiles()
 	var o report.Objective
-	c.Flag("objective-refused", "Refused flows that the objective allows in a million.").Default(defaultRefusedPerMillion).Uint64Var(&o.Refused)
-	c.Flag("objective-repeated", "Flows that were late at their opening that it allows in a million.").Default(defaultRepeatedPerMillion).Uint64Var(&o.Repeated)
-	worst := c.Flag("worst", "How many of the worst seconds to show.").Default(defaultWorst).Int()
+	c.Flag("objective-refused", "Refused flows in a million that the objective allows.").Default(defaultRefusedPerMillion).Uint64Var(&o.Refused)
+	c.Flag("objective-repeated", "Flows with a retransmitted opening packet in a million that the objective allows.").Default(defaultRepeatedPerMillion).Uint64Var(&o.Repeated)
+	worst := c.Flag("worst", "How many of the worst seconds to show.").Default(defaultWorstSeconds).Int()
 	html := c.Flag("html", "Write an HTML page with a plot to this file.").String()
-	a.runs[c.FullCommand()] = func(context.Context) error {
+	a.handlers[c.FullCommand()] = func(context.Context) error {
 		lines, err := logfile.ReadFiles(*files)
 		if err != nil {
 			return err
@@ -54,11 +55,11 @@
 		fmt.Fprintln(w)
 		writeCounts(w, s.Time.Format("15:04:05"), &s.Counts)
 		for i, e := range s.Events {
-			if i == maxEvents {
-				fmt.Fprintf(w, "  and %d more\n", len(s.Events)-maxEvents)
+			if i == maxEventsPerSecond {
+				fmt.Fprintf(w, "  and %d more\n", len(s.Events)-maxEventsPerSecond)
 				break
 			}
-			fmt.Fprintf(w, "  %s %s: %s %s\n", e.Time.Format(explainTime), e.Instance, e.Message, e.Text)
+			fmt.Fprintf(w, "  %s %s: %s %s\n", e.Time.Format(lineTimeFormat), e.Instance, e.Message, e.Text)
 		}
 	}
 }
--- a/ctl/commands/service_change.go
+++ b/ctl/commands/service_change.go
@@ -12,14 +12,14 @@
 	c := a.group("service", "Services.").Command("change", "Change settings of a service; the others stay.")
 	s.register(c, false)
 	f.register(c)
-	a.add(c, func(ctx context.Context) error {
+	a.handle(c, func(ctx context.Context) error {
 		svc, version, err := a.service(ctx, s.name)
 		if err != nil {
 			return err
 		}
 		s.apply(svc)
-		// A first attempt must not overwrite a change made since the reading. A
-		// repeated request gets its first answer whatever the version.
+		// A first attempt must not overwrite a change made since the service was
+		// read. A retried request gets its first answer whatever the version.
 		if f.expect == 0 && f.request == "" {
 			f.expect = version
 		}
--- a/ctl/commands/service_create.go
+++ b/ctl/commands/service_create.go
@@ -12,7 +12,7 @@
 	c := a.group("service", "Services.").Command("create", "Create a service.")
 	s.register(c, true)
 	f.register(c)
-	a.add(c, func(ctx context.Context) error {
+	a.handle(c, func(ctx context.Context) error {
 		return a.runChange(ctx, "create service", &f,
 			func(ctx context.Context, c api.DRPCOperatorClient, change *api.Change) (*api.ChangeReply, error) {
 				svc := &api.Service{}
--- a/ctl/commands/service_delete.go
+++ b/ctl/commands/service_delete.go
@@ -11,7 +11,7 @@
 	c := a.group("service", "Services.").Command("delete", "Delete a service.")
 	name := c.Arg("name", "Name of the service.").Required().String()
 	f.register(c)
-	a.add(c, func(ctx context.Context) error {
+	a.handle(c, func(ctx context.Context) error {
 		return a.runChange(ctx, "delete service", &f,
 			func(ctx context.Context, c api.DRPCOperatorClient, change *api.Change) (*api.ChangeReply, error) {
 				return c.DeleteService(ctx, &api.NameRequest{Change: change, Name: *name})
--- a/ctl/commands/service_flags.go
+++ b/ctl/commands/service_flags.go
@@ -13,7 +13,7 @@
 type serviceFlags struct {
 	name, address, protocol, balance string
 	buckets, maxRecords, maxEject    uint32
-	idle                             time.Duration
+	idleTimeout                      time.Duration
 	broken, refused, imbalance       uint32
 }
 
@@ -25,17 +25,17 @@
 	}
 	address.StringVar(&f.address)
 	c.Flag("protocol", "Transport protocol: tcp or udp.").StringVar(&f.protocol)
-	c.Flag("balance", "hashed relays the fewest packets; tracked balances best.").StringVar(&f.balance)
-	c.Flag("buckets", "Size of the table, a power of two; about 128 for each backend server.").Uint32Var(&f.buckets)
-	c.Flag("idle-timeout", "Time for which a flow may be silent.").DurationVar(&f.idle)
-	c.Flag("max-records", "Flow records that one bucket may hold.").Uint32Var(&f.maxRecords)
-	c.Flag("max-eject-percent", "Share of backend servers that checks alone may take out.").Uint32Var(&f.maxEject)
+	c.Flag("balance", "Balancing mode: hashed relays the fewest packets; tracked balances best.").StringVar(&f.balance)
+	c.Flag("buckets", "Number of buckets, a power of two; about 128 for each backend server.").Uint32Var(&f.buckets)
+	c.Flag("idle-timeout", "Time without a packet after which a flow may expire.").DurationVar(&f.idleTimeout)
+	c.Flag("max-records", "Largest number of flow records in one bucket.").Uint32Var(&f.maxRecords)
+	c.Flag("max-eject-percent", "Largest share of backend servers, in percent, that failed health checks may eject.").Uint32Var(&f.maxEject)
 	c.Flag("objective-broken", "Broken flows in a million that the objective allows.").Uint32Var(&f.broken)
 	c.Flag("objective-refused", "Refused flows in a million that the objective allows.").Uint32Var(&f.refused)
-	c.Flag("objective-imbalance", "Excess in percent of the most loaded backend server that the objective allows.").Uint32Var(&f.imbalance)
+	c.Flag("objective-imbalance", "Excess of the most loaded backend server over the mean, in percent, that the objective allows.").Uint32Var(&f.imbalance)
 }
 
-// apply sets the fields that were given.
+// apply sets the fields of s whose flags are neither empty nor zero.
 func (f *serviceFlags) apply(s *api.Service) {
 	s.Name = f.name
 	setString(&s.Address, f.address)
@@ -44,7 +44,7 @@
 	setUint(&s.Buckets, f.buckets)
 	setUint(&s.MaxRecords, f.maxRecords)
 	setUint(&s.MaxEjectPercent, f.maxEject)
-	setUint(&s.IdleTimeout, uint32(f.idle/time.Second))
+	setUint(&s.IdleTimeout, uint32(f.idleTimeout/time.Second))
 	if s.GetObjective() == nil {
 		s.Objective = &api.Objective{}
 	}
@@ -65,12 +65,12 @@
 	}
 }
 
-// find returns the named service of the list.
-func find(list *api.ServiceList, name string) (*api.Service, error) {
+// findService returns the named service of the list.
+func findService(list *api.ServiceList, name string) (*api.Service, error) {
 	for _, s := range list.GetServices() {
 		if s.GetName() == name {
 			return s, nil
 		}
 	}
-	return nil, fmt.Errorf("%w: service %q is not there", errInvalid, name)
+	return nil, fmt.Errorf("%w: no service %q", errInvalid, name)
 }
--- a/ctl/commands/service_list.go
+++ b/ctl/commands/service_list.go
@@ -11,7 +11,7 @@
 
 func serviceList(a *App) {
 	c := a.group("service", "Services.").Command("list", "List the services.")
-	a.add(c, func(ctx context.Context) error {
+	a.handle(c, func(ctx context.Context) error {
 		list, err := a.services(ctx)
 		if err != nil {
 			return err
@@ -38,12 +38,12 @@
 	return list, err
 }
 
-// service returns a service and the version at which it was read.
+// service returns a service and the state version at which it was read.
 func (a *App) service(ctx context.Context, name string) (*api.Service, uint64, error) {
 	list, err := a.services(ctx)
 	if err != nil {
 		return nil, 0, err
 	}
-	s, err := find(list, name)
+	s, err := findService(list, name)
 	return s, list.GetVersion(), err
 }
--- a/ctl/commands/service_show.go
+++ b/ctl/commands/service_show.go
@@ -9,7 +9,7 @@
 func serviceShow(a *App) {
 	c := a.group("service", "Services.").Command("show", "Show a service's settings.")
 	name := c.Arg("name", "Name of the service.").Required().String()
-	a.add(c, func(ctx context.Context) error {
+	a.handle(c, func(ctx context.Context) error {
 		s, version, err := a.service(ctx, *name)
 		if err != nil {
 			return err
--- a/ctl/commands/status.go
+++ b/ctl/commands/status.go
@@ -9,8 +9,8 @@
 )
 
 func status(a *App) {
-	c := a.kingpin.Command("status", "Show the control instances and what is in progress.")
-	a.add(c, func(ctx context.Context) error {
+	c := a.kingpin.Command("status", "Show the control instances and the changes in progress.")
+	a.handle(c, func(ctx context.Context) error {
 		var r *api.StatusReply
 		err := a.client.Call(ctx, "status", func(ctx context.Context, c api.DRPCOperatorClient) (err error) {
 			r, err = c.Status(ctx, &api.Empty{})
--- a/ctl/commands/watch.go
+++ b/ctl/commands/watch.go
@@ -10,7 +10,7 @@
 
 func watch(a *App) {
 	c := a.kingpin.Command("watch", "Show each change as it comes into force, until interrupted.")
-	a.add(c, func(ctx context.Context) error {
+	a.handle(c, func(ctx context.Context) error {
 		return a.client.Stream(ctx, func(ctx context.Context, c api.DRPCOperatorClient) error {
 			stream, err := c.Watch(ctx, &api.Empty{})
 			if err != nil {
--- a/ctl/commands/zone.go
+++ b/ctl/commands/zone.go
@@ -11,7 +11,7 @@
 }
 
 func zoneRestored(a *App) {
-	a.zoneChange("restored", "Take back that an availability zone is lost.", false)
+	a.zoneChange("restored", "Withdraw the declaration that an availability zone is lost.", false)
 }
 
 func (a *App) zoneChange(verb, help string, lost bool) {
@@ -19,7 +19,7 @@
 	c := a.group("zone", "Availability zones.").Command(verb, help)
 	zone := c.Arg("zone", "Name of the availability zone.").Required().String()
 	f.register(c)
-	a.add(c, func(ctx context.Context) error {
+	a.handle(c, func(ctx context.Context) error {
 		return a.runChange(ctx, "declare zone", &f,
 			func(ctx context.Context, c api.DRPCOperatorClient, change *api.Change) (*api.ChangeReply, error) {
 				return c.DeclareZone(ctx, &api.ZoneRequest{Change: change, Zone: *zone, Lost: lost})
