--- a/emulator/control/standin.go
+++ b/emulator/control/standin.go
@@ -142,7 +142,7 @@
 func (f *fleet) leave(ctx context.Context) error {
 	for _, s := range f.list {
 		s.client.Leave()
-		s.client.Left()
+		s.client.FinishLeaving()
 	}
 	clock.Sleep(ctx, leaveTime)
 	f.stop()
