--- a/scripts/demo-platform.sh
+++ b/scripts/demo-platform.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Runs the system as on the users' platform, on loopback addresses, against
-# stand-ins: an entry instance is killed, one is stopped, the control instances
-# are killed one after the other, and every flow must stay on its backend server.
+# Runs the system on loopback addresses with the settings of the users' platform, with
+# simulated callers, backend servers and operator. One entry instance is killed, one is
+# stopped, and the control instances are killed and restarted one after the other.
+# Fails if a flow breaks or any other check of platform-run does.
 set -u
 out=${1:-out/demo-platform}
 mkdir -p "$out"
@@ -12,7 +13,7 @@
 trap stop_all EXIT
 start_platform
 start_platform_run --duration 12s
-run=${pid_of[platform-run]}
+run_pid=${pid_of[platform-run]}
 
 sleep 4
 "$bin/catkinctl" --trusted-network -c "127.$net.1.100:7720" -c "127.$net.2.100:7720" -c "127.$net.3.100:7720" directory
@@ -22,13 +23,13 @@
 echo "change: front-2-1 stopped"
 signal front-2-1 TERM
 for z in 1 2 3; do
-	echo "loss: core-$z killed and started again"
+	echo "loss: core-$z killed and restarted"
 	signal "core-$z" KILL
 	sleep 0.3
 	start_on_platform "core-$z"
 	sleep 1.2
 done
-wait "$run"
+wait "$run_pid"
 result=$?
 cat "$out/platform-run.log"
 exit $result
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Fuzzes each target for a while (FUZZTIME, 20 s by default).
+# Fuzzes each target for FUZZTIME, 20 s by default.
 set -eu
 cd "$(dirname "$0")/.."
 time=${FUZZTIME:-20s}
--- a/scripts/man.sh
+++ b/scripts/man.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# man.sh [DIR]: writes the programs' manual pages, from their command lines, to
-# docs/man or DIR.
+# man.sh [DIR]: generates the manual pages from the programs' --help-man output into
+# DIR, docs/man by default.
 set -eu
 cd "$(dirname "$0")/.."
 dir=${1:-docs/man}
--- a/scripts/platform-lib.sh
+++ b/scripts/platform-lib.sh
@@ -1,29 +1,32 @@
-# Functions shared by the scripts that run the system as on the users' platform,
-# on loopback addresses.
+# Functions shared by the scripts that run the system on loopback addresses with the
+# settings of the users' platform.
 
 # shellcheck source=scripts/lib.sh
 . "$(dirname "${BASH_SOURCE[0]}")/lib.sh"
-# net is the second number of all addresses, so that several runs fit beside each
-# other.
+# net is the second octet of all addresses; runs with different values don't collide.
 net=${net:-1}
 seeds=(--seed "127.$net.1.100" --seed "127.$net.2.100" --seed "127.$net.3.100")
 zone_names=(a b c)
 
-node() { # NAME ZONE-NUMBER IP [FLAG...]
+# write_node_file NAME ZONE-NUMBER IP [FLAG...]: writes the platform's settings of an
+# instance to $out/NAME.yaml. Zone numbers count from 1.
+write_node_file() {
 	local name=$1 zone=${zone_names[$2 - 1]} ip=$3
 	shift 3
 	"$bin/catkinrail-emulator" platform-node --name "$name" --zone "$zone" --ip "$ip" "${seeds[@]}" "$@" >"$out/$name.yaml"
 }
 
-start_on_platform() { # NAME
+# start_on_platform NAME: starts an instance with $out/NAME.yaml: core-* is a control
+# instance, all others are entry instances.
+start_on_platform() {
 	local program=catkinrail-entry
 	case $1 in core-*) program=catkinrail-control ;; esac
 	start "$1" env CATKINRAIL_NODE_FILE="$out/$1.yaml" "$bin/$program" --platform
 }
 
-# start_platform [SEED]: three zones of a control instance and two entry instances.
-# With a seed, all connections to control instances go through proxies that harm
-# them.
+# start_platform [SEED]: starts three zones, each with a control instance and two entry
+# instances. With a seed, all connections to control instances go through a proxy that
+# injects faults drawn from the seed.
 start_platform() {
 	local z n args
 	if [ $# -gt 0 ]; then
@@ -38,16 +41,17 @@
 		if [ $# -gt 0 ]; then
 			args=(--listen "127.$net.$z.101")
 		fi
-		node "core-$z" "$z" "127.$net.$z.100" "${args[@]}" --data "$out/data-$z" --first
+		write_node_file "core-$z" "$z" "127.$net.$z.100" "${args[@]}" --data "$out/data-$z" --first
 		start_on_platform "core-$z"
 		for n in 1 2; do
-			node "front-$z-$n" "$z" "127.$net.$z.$n"
+			write_node_file "front-$z-$n" "$z" "127.$net.$z.$n"
 			start_on_platform "front-$z-$n"
 		done
 	done
 }
 
-# start_platform_run FLAG...: callers, backend servers and an operator.
+# start_platform_run FLAG...: starts callers, backend servers and an operator in one
+# process, which checks what they observe.
 start_platform_run() {
 	local z args=()
 	for z in 1 2 3; do
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,11 +1,14 @@
 #!/usr/bin/env bash
-# soak.sh SEED [SECONDS [NET]]: runs the system as on the users' platform, on loopback,
-# while processes are killed, paused, stopped and started, connections to control
-# are delayed, reset, cut one way or silenced, disks are lost, torn or refuse to
-# grow, documents change, backend servers are replaced and callers' packets are lost
-# or repeated, all at times drawn from the seed. Fails if a promise was broken.
+# soak.sh SEED [SECONDS [NET]]: runs the system on loopback with the settings of the
+# users' platform for SECONDS (20 by default) while faults are injected at times drawn
+# from SEED: processes are killed, paused, stopped and restarted; connections to control
+# instances are delayed, reset, blocked in one direction or silenced; disks are lost,
+# left with a torn write or limited in file size; documents change, backend servers are
+# replaced, and callers' packets are lost or repeated. Fails if no request is served, a
+# flow breaks, is refused, reaches a second backend server or opens too late on a
+# draining one, or a document is read that is older than an acknowledged one.
 set -u
-seed=${1:?give a seed}
+seed=${1:?usage: soak.sh SEED [SECONDS [NET]]}
 seconds=${2:-20}
 net=${3:-1}
 out=out/soak-$seed
@@ -18,49 +21,53 @@
 RANDOM=$seed
 start_platform "$seed"
 start_platform_run --duration "${seconds}s" --soak "$seed"
-run=${pid_of[platform-run]}
+run_pid=${pid_of[platform-run]}
 
-note() {
+# log_fault TEXT...: writes a line with the time to faults.log.
+log_fault() {
 	echo "$(date +%s.%N | cut -c1-14) $*" >>"$out/faults.log"
 }
 
-some_front() { echo "front-$((RANDOM % 3 + 1))-$((RANDOM % 2 + 1))"; }
-some_core() { echo "core-$((RANDOM % 3 + 1))"; }
+random_front() { echo "front-$((RANDOM % 3 + 1))-$((RANDOM % 2 + 1))"; }
+random_core() { echo "core-$((RANDOM % 3 + 1))"; }
 
-# again NAME: starts a process whose earlier one has ended.
-again() {
+# restart NAME: waits until the process has ended and starts it again.
+restart() {
 	wait "${pid_of[$1]}" 2>/dev/null
 	start_on_platform "$1"
 }
 
-pause_for() { # NAME SECONDS
-	note "$1 paused for $2 s"
+# pause_for NAME SECONDS: pauses a process.
+pause_for() {
+	log_fault "$1 paused for $2 s"
 	signal "$1" STOP
 	sleep "$2"
 	signal "$1" CONT
 }
 
-fault() {
+# inject_fault injects a random fault.
+inject_fault() {
 	local name
 	case $((RANDOM % 10)) in
-	0) name=$(some_front) && note "$name killed" && signal "$name" KILL && again "$name" ;;
-	1) name=$(some_front) && note "$name stopped" && signal "$name" TERM && again "$name" ;;
-	2) pause_for "$(some_front)" $((RANDOM % 2 + 1)) ;;
-	3) name=$(some_core) && note "$name killed" && signal "$name" KILL && again "$name" ;;
-	4) pause_for "$(some_core)" $((RANDOM % 2 + 1)) ;;
-	5) note "all control instances killed" && for z in 1 2 3; do signal "core-$z" KILL; done && for z in 1 2 3; do again "core-$z"; done ;;
-	6) name=$(some_core) && lose_disk "$name" ;;
-	7) name=$(some_front) && note "$name gets SIGHUP" && signal "$name" HUP && signal "$(some_core)" HUP ;;
-	8) name=$(some_core) && tear_disk "$name" ;;
-	9) name=$(some_core) && limit_disk "$name" ;;
+	0) name=$(random_front) && log_fault "$name killed" && signal "$name" KILL && restart "$name" ;;
+	1) name=$(random_front) && log_fault "$name stopped" && signal "$name" TERM && restart "$name" ;;
+	2) pause_for "$(random_front)" $((RANDOM % 2 + 1)) ;;
+	3) name=$(random_core) && log_fault "$name killed" && signal "$name" KILL && restart "$name" ;;
+	4) pause_for "$(random_core)" $((RANDOM % 2 + 1)) ;;
+	5) log_fault "all control instances killed" && for z in 1 2 3; do signal "core-$z" KILL; done && for z in 1 2 3; do restart "core-$z"; done ;;
+	6) name=$(random_core) && lose_disk "$name" ;;
+	7) name=$(random_front) && log_fault "$name and a control instance receive SIGHUP" && signal "$name" HUP && signal "$(random_core)" HUP ;;
+	8) name=$(random_core) && leave_torn_write "$name" ;;
+	9) name=$(random_core) && limit_file_size "$name" ;;
 	esac
 }
 
-# tear_disk NAME: kills a control instance, leaves part of a write that was not
-# synced at the end of its files, and starts it again.
-tear_disk() {
+# leave_torn_write NAME: kills a control instance, appends 1 to 60 bytes to its newest
+# segment, as an incomplete write leaves them, and starts it again. The bytes are the
+# first ones of this script.
+leave_torn_write() {
 	local file
-	note "$1 killed in a write"
+	log_fault "$1 killed, torn write at the end of its newest segment"
 	signal "$1" KILL
 	wait "${pid_of[$1]}" 2>/dev/null
 	for file in "$out/data-${1#core-}"/segment-*; do :; done
@@ -68,20 +75,21 @@
 	start_on_platform "$1"
 }
 
-# limit_disk NAME: lets a control instance's files grow no further. The kernel ends
-# a process that tries; it is started again without the limit.
-limit_disk() {
-	note "$1 can't write"
+# limit_file_size NAME: limits the files that a control instance writes to 4096 bytes
+# for 1 or 2 s. SIGXFSZ ends a process that writes beyond the limit; the instance is
+# then restarted without it.
+limit_file_size() {
+	log_fault "$1 can't write files beyond 4096 bytes"
 	prlimit --pid "${pid_of[$1]}" --fsize=4096
 	sleep $((RANDOM % 2 + 1))
 	signal "$1" KILL 2>/dev/null
-	again "$1"
+	restart "$1"
 }
 
-# lose_disk NAME: kills a control instance and starts it with an empty disk. The
-# next fault waits until it has had its time to catch up.
+# lose_disk NAME: kills a control instance and starts it with an empty disk. Waits 4 s
+# so that it can catch up before the next fault.
 lose_disk() {
-	note "$1 killed, its disk lost"
+	log_fault "$1 killed, disk lost"
 	signal "$1" KILL
 	wait "${pid_of[$1]}" 2>/dev/null
 	rm -rf "${out:?}/data-${1#core-}"
@@ -91,11 +99,11 @@
 }
 
 sleep 2.5
-while kill -0 "$run" 2>/dev/null && [ $((SECONDS)) -lt "$seconds" ]; do
+while kill -0 "$run_pid" 2>/dev/null && [ $((SECONDS)) -lt "$seconds" ]; do
 	sleep "0.$((RANDOM % 9 + 1))"
-	fault
+	inject_fault
 done
-wait "$run"
+wait "$run_pid"
 result=$?
 echo "seed $seed: $(tr '\n' ' ' <"$out/platform-run.log")"
 exit $result
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Runs all tests. Tests listed in KNOWN-RED.txt are passed over and printed.
+# Runs all tests except those listed in KNOWN-RED.txt, whose names it prints.
 set -eu
 cd "$(dirname "$0")/.."
 skip=()
 if [ -f KNOWN-RED.txt ]; then
 	names=$(grep -oE '^test: *Test[A-Za-z0-9_/]+' KNOWN-RED.txt | sed 's/^test: *//' | paste -sd'|' || true)
 	if [ -n "$names" ]; then
-		echo "passed over, see KNOWN-RED.txt: $names"
+		echo "skipped, see KNOWN-RED.txt: $names"
 		skip=(-skip "^($names)\$")
 	fi
 fi
