--- a/Makefile
+++ b/Makefile
@@ -10,12 +10,12 @@
 	go build -o bin/ $(PROGRAMS)
 
 .PHONY: demo
-demo: build ## Run both users' services on loopback, with changes and losses.
+demo: build ## Run the services of both example sites on loopback, with changes and failures.
 	./scripts/demo.sh
 	./scripts/demo-platform.sh
 
 .PHONY: test
-test: ## Run the tests with the race detector.
+test: ## Run the tests, except those in KNOWN-RED.txt, with the race detector.
 	./scripts/test.sh
 
 .PHONY: lint
@@ -41,32 +41,32 @@
 	GOBIN=$(CURDIR)/bin go install $(GOPLS)
 
 .PHONY: fuzz
-fuzz: ## Fuzz the packet path and every decoder for a while each.
+fuzz: ## Fuzz the packet path and every decoder, each for FUZZTIME (20 s by default).
 	./scripts/fuzz.sh
 
 .PHONY: bench
-bench: build ## Measure forwarding and decisions.
+bench: build ## Measure packet forwarding and routing decisions.
 	./bin/catkinrail-emulator bench
 
 .PHONY: measure
-measure: build ## Measure routing policies against scenarios; plots go to out.
+measure: build ## Measure routing policies in simulated scenarios; plots go to out/measure.
 	./bin/catkinrail-emulator measure --out out/measure
 
 .PHONY: measure-control
-measure-control: build ## Measure the time until changes are in force, and control's cost.
+measure-control: build ## Measure the time until changes are in force, and the cost of control instances.
 	./scripts/measure-control.sh
 
 .PHONY: prove
-prove: build ## Run the fault matrix, real processes included.
+prove: build ## Run the fault matrix, including faults on real processes.
 	./scripts/prove.sh
 
 SEED ?= 1
 .PHONY: soak
-soak: build ## Run the programs under random faults for 20 s; SEED=n chooses them.
+soak: build ## Run the programs under random faults for 20 s; SEED=n sets the seed.
 	./scripts/soak.sh $(SEED)
 
 .PHONY: capacity
-capacity: build ## Work the capacity table out from the measured slopes.
+capacity: build ## Calculate the capacity table from the measured slopes.
 	./bin/catkinrail-emulator capacity
 
 .PHONY: help
