--- a/entry/backend/announce.go
+++ b/entry/backend/announce.go
@@ -123,8 +123,8 @@
 	return a.Incarnation == b.Incarnation && a.Draining == b.Draining && a.Weight == b.Weight
 }
 
-// AddPermanent adds an announcement that is valid for a year, for emulated backend servers
-// that don't announce themselves.
+// AddPermanent adds an announcement that is valid for a year, for emulated backend
+// servers that don't announce themselves.
 func (r *Registry) AddPermanent(a *plan.Announcement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/entry/cmd/catkinrail-entry/daemon.go
+++ b/entry/cmd/catkinrail-entry/daemon.go
@@ -49,7 +49,7 @@
 		return err
 	}
 	if creds == nil {
-		log.Info().Msg("TLS is off: use only for tests on loopback")
+		log.Info().Msg("TLS is off; only loopback addresses are accepted")
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -85,16 +85,16 @@
 // startWorkers opens the sockets and runs a worker for each.
 func (d *daemon) startWorkers(ctx context.Context, g *errgroup.Group) error {
 	for i := range d.cfg.Workers + 1 {
-		relaying := i == d.cfg.Workers
+		relaySocket := i == d.cfg.Workers
 		addr := d.cfg.fabric
-		if relaying {
+		if relaySocket {
 			addr = d.cfg.relay
 		}
 		conn, err := udp.Listen(ctx, addr)
 		if err != nil {
 			return err
 		}
-		w := fabric.New(d.engine, d.clock, conn, d.cfg.relayKey, d.stats, relaying)
+		w := fabric.New(d.engine, d.clock, conn, d.cfg.relayKey, d.stats, relaySocket)
 		g.Go(func() error { return w.Run(ctx) })
 	}
 	g.Go(func() error {
--- a/entry/cmd/catkinrail-entry/token.go
+++ b/entry/cmd/catkinrail-entry/token.go
@@ -24,7 +24,8 @@
 
 // Timing of an entry instance that routes by token.
 const (
-	// expireInterval is the interval at which ended flows and incarnations are removed.
+	// expireInterval is the interval between calls of the engine's Tick, which expires
+	// flows, requests and incarnations.
 	expireInterval = time.Second
 	// minDrainTime is the shortest time for which packets still arrive after readiness
 	// ends: the platform stops sending after two failed checks, 500 ms apart.
--- a/entry/control/client.go
+++ b/entry/control/client.go
@@ -29,7 +29,8 @@
 	// callTimeout limits a call, including the time for which control may hold back
 	// a heartbeat's reply until there is a change.
 	callTimeout = 750 * time.Millisecond
-	// minBackoff and maxBackoff limit the delay after a failed call.
+	// minBackoff and maxBackoff limit the mean delay after a failed call; jitter changes
+	// it by up to half.
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = 500 * time.Millisecond
 	// snapshotTimeout limits a heartbeat whose reply may carry the whole state.
@@ -126,8 +127,9 @@
 	return c.heartbeat(ctx)
 }
 
-// tryNextPeer switches to the next control instance after an exponential backoff. Its
-// jitter spreads the calls of instances that lost their leader at the same time.
+// tryNextPeer switches to the next control instance and waits for an exponential
+// backoff. Its jitter spreads the calls of instances that lost their leader at the same
+// time.
 func (c *Client) tryNextPeer(ctx context.Context, err error) {
 	if skipped, ok := c.cfg.Limiter.Allow(); ok && drpcerr.Code(err) != uint64(api.Code_NOT_LEADER) {
 		c.cfg.Log.Warn(err).Uint64("skipped", skipped).Msg("call to control instance failed")
--- a/entry/fabric/stats.go
+++ b/entry/fabric/stats.go
@@ -62,7 +62,7 @@
 	return counts
 }
 
-// Restore adds counts that could not be reported back to the current ones.
+// Restore adds back counts that could not be reported.
 func (s *Stats) Restore(counts map[catkinrail.ServiceID]message.FlowCounts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,7 +81,8 @@
 	}
 }
 
-// count adds a verdict to the counts of its service, if they include it.
+// count adds a verdict to the counts of its service if it opened or refused a flow, or
+// dropped a packet because its flow has no record.
 func (s *Stats) count(v *route.Verdict) {
 	opened := v.Action == route.Forward && v.Opening
 	broken := v.Action == route.Drop && v.Reason == route.ReasonNoRecord
@@ -113,10 +114,10 @@
 	received, forwarded, relayed, refused int64
 }
 
-func (t *batchCounts) flush(s *Stats) {
-	s.received.Inc(t.received)
-	s.forwarded.Inc(t.forwarded)
-	s.relayed.Inc(t.relayed)
-	s.refused.Inc(t.refused)
-	*t = batchCounts{}
+func (c *batchCounts) flush(s *Stats) {
+	s.received.Inc(c.received)
+	s.forwarded.Inc(c.forwarded)
+	s.relayed.Inc(c.relayed)
+	s.refused.Inc(c.refused)
+	*c = batchCounts{}
 }
--- a/entry/fabric/worker.go
+++ b/entry/fabric/worker.go
@@ -47,7 +47,8 @@
 
 	header  ip.Header
 	message relay.Message
-	// scratch holds the buffers of queued messages; the first used ones are in use.
+	// scratch holds buffers for messages, of which the first ones hold queued messages;
+	// used is the number of those.
 	scratch [][]byte
 	used    int
 	counts  batchCounts
@@ -191,7 +192,8 @@
 	w.conn.Queue(to, *buf)
 }
 
-// refuse sends a reset to the sender of the packet.
+// refuse sends a reset to the UDP address from which the packet was received, not to
+// the caller's.
 func (w *Worker) refuse(b []byte, from netip.AddrPort) {
 	buf := w.buffer()
 	*buf = ip.AppendRefusal(*buf, b, &w.header)
--- a/entry/follow/client.go
+++ b/entry/follow/client.go
@@ -42,11 +42,13 @@
 	// instance is in contact with a leader. It is below the time for which an instance
 	// must be connected before the limits on changes apply to it again.
 	maxFirstContactTimeout = 1600 * time.Millisecond
-	// returnDelay is the time after a stream from its own zone before the instance
-	// switches back to that zone.
+	// returnDelay is the time after the end of the last stream from this zone before a
+	// stream from another control instance is closed to return to this zone's. One that
+	// has stalled must not be retried every second.
 	returnDelay = 5 * time.Second
-	// minBackoff and maxBackoff limit the delay after a failed attempt. They are short
-	// because service depends on this delay after all instances have failed.
+	// minBackoff and maxBackoff limit the mean delay after a failed attempt; jitter
+	// changes it by up to half. They are short because service depends on this delay
+	// after all instances have failed.
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = 160 * time.Millisecond
 	// streamTimeout limits the duration of a stream.
@@ -67,15 +69,17 @@
 	mu    sync.Mutex
 	seeds []string
 	peers []quorum.Peer
-	// attempt counts the attempts outside this zone; it selects the next address.
+	// attempt counts the attempts outside this instance's zone; it selects the next
+	// address.
 	attempt int
 	// ownZoneEndedAt is the time at which the last stream from this zone ended.
 	ownZoneEndedAt time.Time
-	// resume is the point that the last stream reached; resumeAddr is its address.
+	// resume is the point that the last stream reached; resumeAddr is the address of
+	// that stream's control instance.
 	resume     message.ResumePoint
 	resumeAddr string
 	// withoutContact is the number of consecutive streams whose control instance was
-	// never in contact with a leader.
+	// never in contact with a leader. Streams without the sender's state don't count.
 	withoutContact int
 	// unanswered is the number of consecutive streams without any update.
 	unanswered int
@@ -105,8 +109,8 @@
 	backoff := minBackoff
 	own := false
 	for ctx.Err() == nil {
-		// After a stream from this zone, for whatever reason it ended, a control
-		// instance of another zone is tried first.
+		// After a stream from this zone's control instance, for whatever reason it
+		// ended, the others are tried before it.
 		var addr string
 		addr, own = c.chooseAddr(own)
 		s := &session{client: c, addr: addr, ownZone: own}
@@ -148,8 +152,8 @@
 }
 
 // firstUpdateTimeout returns the limit on the wait for a stream's first update. It is
-// longer after as many unanswered streams as there are control instances, because
-// then the link of this instance may be slow.
+// longer after as many unanswered streams as there are known control instances,
+// because then the link of this instance may be slow.
 func (c *Client) firstUpdateTimeout() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -195,7 +199,7 @@
 }
 
 // chooseAddr returns the address of the control instance to follow: the one in this
-// zone, or, if there is none or it is to be avoided, the others in turn.
+// zone, or, if there is none or it is to be avoided, one of the others in turn.
 func (c *Client) chooseAddr(avoidOwn bool) (addr string, own bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/entry/follow/client_test.go
+++ b/entry/follow/client_test.go
@@ -30,7 +30,7 @@
 	return New("entry-1", zone, seeds, nil, clk, r, logs.Discard()), r
 }
 
-func TestChoose(t *testing.T) {
+func TestChooseAddr(t *testing.T) {
 	peers := []quorum.Peer{{Addr: "a:1", Zone: "a"}, {Addr: "b:1", Zone: "b"}}
 	tests := []struct {
 		name     string
@@ -359,8 +359,8 @@
 	}
 	body, err := cluster.EncodeCompressed(&message.FollowUpdate{Document: d})
 	require.NoError(t, err)
-	const bound = 1_400_000 / 8 * 350 / 1000
-	require.Less(t, len(body), bound)
+	const maxSize = 1_400_000 / 8 * 350 / 1000
+	require.Less(t, len(body), maxSize)
 	var u message.FollowUpdate
 	require.NoError(t, cluster.DecodeCompressed(body, &u))
 	require.Equal(t, d, u.Document)
--- a/entry/packet/worker.go
+++ b/entry/packet/worker.go
@@ -58,7 +58,7 @@
 	reasons    []metrics.Counter
 	malformed  metrics.Counter
 	sendFailed metrics.Counter
-	gauge      overload.Detector
+	detector   overload.Detector
 	lastPacket atomic.Int64
 	arena      []byte
 	events     []flowEvent
@@ -98,10 +98,10 @@
 }
 
 // Handshake implements token.Observer.
-func (t *observer) Handshake(took time.Duration) { t.handshake.Update(int64(took)) }
+func (o *observer) Handshake(took time.Duration) { o.handshake.Update(int64(took)) }
 
 // Answer implements token.Observer.
-func (t *observer) Answer(took time.Duration) { t.answer.Update(int64(took)) }
+func (o *observer) Answer(took time.Duration) { o.answer.Update(int64(took)) }
 
 // LastPacket returns the time of the last packet, in nanoseconds of the clock.
 func (w *Worker) LastPacket() int64 {
@@ -130,7 +130,7 @@
 	w.events = w.events[:0]
 	w.router.Do(func(e *token.Engine, now int64) {
 		w.lastPacket.Store(now)
-		overloaded := w.gauge.ObserveRead(n == udp.BatchSize, now)
+		overloaded := w.detector.ObserveRead(n == udp.BatchSize, now)
 		if e.SetOverloaded(overloaded) {
 			w.log.Info().Bool("overloaded", overloaded).Int("flows", e.Flows()).Msg("overload changed")
 		}
@@ -183,18 +183,18 @@
 }
 
 // logEvent logs a decision, unless the limit on log lines is reached.
-func (w *Worker) logEvent(v *flowEvent) {
+func (w *Worker) logEvent(event *flowEvent) {
 	skipped, ok := w.budget.Allow()
 	if !ok {
 		return
 	}
-	line := w.log.Info().Str("flow", v.flow.String()).Stringer("action", v.Action).Stringer("reason", v.Reason).
-		Uint64("document", v.version).Int64("age-ms", v.ageMS)
-	if v.backend != "" {
-		line = line.Str("backend", v.backend)
+	line := w.log.Info().Str("flow", event.flow.String()).Stringer("action", event.Action).Stringer("reason", event.Reason).
+		Uint64("document", event.version).Int64("age-ms", event.ageMS)
+	if event.backend != "" {
+		line = line.Str("backend", event.backend)
 	}
-	if v.copy > 0 {
-		line = line.Uint32("copy", v.copy)
+	if event.copy > 0 {
+		line = line.Uint32("copy", event.copy)
 	}
 	if skipped > 0 {
 		line = line.Uint64("skipped", skipped)
