--- a/ctl/commands/commands.go
+++ b/ctl/commands/commands.go
@@ -29,8 +29,10 @@
 	ExitFailed = 1
 	// ExitInvalid means that an argument is invalid; nothing was changed.
 	ExitInvalid = 2
-	// ExitConflict means that the change conflicts with the state, such as another
-	// version than expected or a name that exists; nothing was changed.
+	// ExitConflict means that the change conflicts with the state or with an earlier
+	// request: the state has another version than expected, the name exists, the
+	// address is in quarantine, or the request identifier was used for another change.
+	// Nothing was changed.
 	ExitConflict = 3
 	// ExitUnknown means that the call got no definite answer; a change may have run.
 	ExitUnknown = 4
--- a/ctl/report/report.go
+++ b/ctl/report/report.go
@@ -15,8 +15,8 @@
 type Objective struct {
 	// Refused is the limit for refused flows.
 	Refused uint64
-	// Repeated is the limit for flows whose opening packet got no answer: they are
-	// late by the caller's retransmission timeout.
+	// Repeated is the limit for flows whose first opening packet got no answer: they
+	// are late by the time after which callers send a copy.
 	Repeated uint64
 }
 
