--- a/coordination/route/answer.go
+++ b/coordination/route/answer.go
@@ -24,8 +24,9 @@
 	if r.h.Quoted {
 		return e.decideUnrecorded(r)
 	}
-	// A datagram without a record opens a flow. In Prepare it may also belong to
-	// an earlier flow; place then records it on the slot where that flow is.
+	// A datagram without a record opens a flow. In Prepare it may also belong to an
+	// earlier flow of a hashed service, which is on the current slot; admit then
+	// records it there.
 	if r.opening || r.h.Key.Proto == catkinrail.ProtoUDP {
 		r.opening = true
 		return e.admit(r)
@@ -227,7 +228,8 @@
 	return flags
 }
 
-// receiveStore stores the record that came with a packet and relays both.
+// receiveStore stores the record that came with a packet and sends both to the next
+// replica, or the packet to its slot after the last one.
 func (e *Engine) receiveStore(m *relay.Message, r *request) Verdict {
 	if !e.Leased(r.now) && !e.zone.isPartitioned() {
 		return r.drop(ReasonNoLease)
--- a/coordination/route/copies.go
+++ b/coordination/route/copies.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// Synced returns the version of the view for which all new replicas have confirmed
-// this instance's records, or zero while copies are pending.
+// Synced returns the version of the view for which this instance has copied its
+// records to the new replicas, or zero while such copies are unconfirmed.
 func (e *Engine) Synced() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/coordination/route/engine.go
+++ b/coordination/route/engine.go
@@ -21,7 +21,7 @@
 
 // drainGracePeriod is how long an instance may still place new flows on a backend
 // server after it received the change that drains it. Together with the longest
-// lease, it stays below the 5 s that callers are promised.
+// lease under the default settings, it stays below the 5 s that callers are promised.
 const drainGracePeriod = 2800 * time.Millisecond
 
 // Action says what to do with a packet.
@@ -174,7 +174,8 @@
 	return e.table.Load().version
 }
 
-// Released reports whether the view is settled and doesn't include this instance.
+// Released reports whether the view no longer needs this instance: it is settled and
+// doesn't include it.
 func (e *Engine) Released() bool {
 	v := &e.table.Load().view
 	self := e.Self()
@@ -216,7 +217,7 @@
 	return nil
 }
 
-// Replace replaces the whole state, unless the given one is not newer.
+// Replace replaces the whole state by s if s has a higher version.
 func (e *Engine) Replace(s *cluster.State, now int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -316,9 +317,9 @@
 	return e.relayTo(r, l.head)
 }
 
-// decideWithoutReplicas decides before the first view, when there are no replicas. A
-// record stored only here would be missing on the instance that receives the flow's
-// next packet, so a new flow is dropped and the caller retries.
+// decideWithoutReplicas decides about a packet whose bucket has no replicas, as before
+// the first view. A record stored only here would be missing on the instance that
+// receives the flow's next packet, so a new flow is dropped and the caller retries.
 func (e *Engine) decideWithoutReplicas(r *request) Verdict {
 	if r.opening || r.h.Key.Proto == catkinrail.ProtoUDP {
 		return r.drop(ReasonNoPeer)
--- a/coordination/route/property_test.go
+++ b/coordination/route/property_test.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestBaselinesBreakFlows checks that the simulation shows broken flows if records,
-// the phase prepare or acknowledgements are left out.
+// TestBaselinesBreakFlows checks that flows break if records, the phase prepare or
+// acknowledgements are left out, so that TestNoFlowBreaks can notice such a fault.
 func TestBaselinesBreakFlows(t *testing.T) {
 	tests := []struct {
 		name string
--- a/coordination/route/table.go
+++ b/coordination/route/table.go
@@ -8,7 +8,7 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-// table is a version of the agreed state, compiled for looking up packets. It is
+// table is a version of the cluster state, compiled for looking up packets. It is
 // immutable once it is published, except for the counters in moves.
 type table struct {
 	version  uint64
--- a/coordination/route/zone.go
+++ b/coordination/route/zone.go
@@ -14,13 +14,13 @@
 // Timing of probes and of partitioned zones.
 const (
 	probeInterval = 200 * time.Millisecond
-	// maxAnswerAge is the age up to which a reply to a probe counts. An instance
-	// probes for as long before it first evaluates the replies.
+	// maxAnswerAge is the age up to which an answer to a probe counts. An instance
+	// probes for as long before it first evaluates the answers.
 	maxAnswerAge = 700 * time.Millisecond
 	// partitionGracePeriod is how long after the end of its lease an instance waits
-	// before it places new flows on another slot than usual, or without all of the
-	// bucket's replicas. It outlasts the election of a control leader, so that an
-	// election leaves no flows to merge.
+	// before it places new flows on a slot other than the configured one, or without
+	// all of the bucket's replicas. It outlasts the election of a control leader, so
+	// that an election leaves no flows to merge.
 	partitionGracePeriod = 4 * time.Second
 )
 
@@ -41,7 +41,8 @@
 	// exceptions are the buckets that got new flows or records while the zone was
 	// partitioned. They remain until all replicas have confirmed the records.
 	exceptions map[flow.Bucket]bool
-	merging    map[flow.Bucket]int
+	// merging counts, by bucket, the batches of records that aren't confirmed yet.
+	merging map[flow.Bucket]int
 }
 
 // partitionView is the part of the cluster that a partitioned instance works with.
@@ -88,7 +89,7 @@
 }
 
 // tick probes the other instances while this one has no lease, and evaluates their
-// replies.
+// answers.
 func (z *zoneState) tick(e *Engine, t *table, now int64, out []Outgoing) []Outgoing {
 	if e.Leased(now) {
 		z.partition.Store(nil)
@@ -129,7 +130,8 @@
 // if more than half of its instances are known to have no lease: control then can't
 // move flows away from the zone's backend servers. An instance in a usable zone
 // decides itself, for the backend servers of usable zones, if no instance in contact
-// has a higher version. If one has, it gets this instance's packets.
+// has a higher version. If any has, the one with the highest version gets this
+// instance's packets.
 func (z *zoneState) evaluate(e *Engine, t *table, now int64) {
 	zones := map[catkinrail.Zone]*zoneCount{}
 	best, bestVersion, leased := catkinrail.InstanceID(0), t.version, catkinrail.InstanceID(0)
@@ -298,8 +300,9 @@
 	e.zone.anyException.Store(true)
 }
 
-// decideException decides about a flow of a settled bucket that was placed on another
-// slot while the zone was partitioned. It returns false if there is no such record.
+// decideException decides about a flow of a settled bucket that may have been placed on
+// another slot while the zone was partitioned. It returns false if the flow has no
+// record.
 func (e *Engine) decideException(r *request) (Verdict, bool) {
 	if !e.zone.anyException.Load() {
 		return Verdict{}, false
