--- a/coordination/quorum/node.go
+++ b/coordination/quorum/node.go
@@ -83,8 +83,8 @@
 	// start: a leader may hold a lease that relies on this node from before its
 	// restart.
 	lastLeaderContact int64
-	// synced is the time of the last leader's message after which the node had all
-	// that the leader had committed.
+	// synced is the time of the last message from a leader after which the node had
+	// all that the leader had committed.
 	synced int64
 	// deadline is the time at which the node campaigns next.
 	deadline      int64
--- a/coordination/quorum/read.go
+++ b/coordination/quorum/read.go
@@ -15,8 +15,8 @@
 }
 
 // ReadConfirmed reports whether a majority has answered messages that were sent
-// since the read with the given mark began. No later leader had then been elected
-// when it began.
+// since the read with the given mark began. If so, no later leader had been elected
+// when the read began.
 func (n *Node) ReadConfirmed(mark int64) bool {
 	if n.role != Leader {
 		return false
@@ -42,7 +42,8 @@
 
 // Synced returns the time, in nanoseconds, at which the node last had all that its
 // leader had committed. On the leader, it is the latest time of sending that a
-// majority has answered. Zero means never.
+// majority has answered, or zero until it has committed an entry of its term. Zero
+// means never.
 func (n *Node) Synced() int64 {
 	if n.role == Leader {
 		if !n.committedOwnTerm() {
--- a/coordination/quorum/read_test.go
+++ b/coordination/quorum/read_test.go
@@ -27,7 +27,7 @@
 	committed uint64
 }
 
-// beginReads starts a read at every member that takes itself for the leader.
+// beginReads starts a read at every member whose role is Leader.
 func (g *testGroup) beginReads() []read {
 	var list []read
 	for _, id := range g.order {
