--- a/control/voter/voter.go
+++ b/control/voter/voter.go
@@ -22,7 +22,7 @@
 // Limits of sending.
 const (
 	callTimeout = time.Second
-	// queueLength is the maximum number of messages that wait for one instance.
+	// queueLength is the maximum number of messages queued for one instance.
 	queueLength = 256
 	// logInterval is the minimum time between two warnings about one instance.
 	logInterval = 10 * time.Second
@@ -77,7 +77,7 @@
 }
 
 // sender returns the sender for a node, and replaces it if the node's address has
-// changed. It returns nil if it has no sender and the address is unknown.
+// changed. It returns nil if there is no sender and the address is unknown.
 func (t *Transport) sender(id quorum.NodeID, members *quorum.Members) *sender {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/state/flow/table.go
+++ b/state/flow/table.go
@@ -29,8 +29,8 @@
 	evictInterval = 100 * time.Millisecond
 	// unneededRetention is how long a bucket's records are kept although the
 	// configuration doesn't need them here. They may belong to a configuration
-	// that this instance hasn't received yet. It lags behind by less than a
-	// lease, or it would hold none.
+	// that this instance hasn't received yet. The instance lags behind by less than
+	// the duration of a lease, or it would hold no lease.
 	unneededRetention = 15 * time.Second
 	// refreshDivisor divides the idle timeout to give the interval at which records
 	// of active flows are copied again.
@@ -62,8 +62,8 @@
 // clock.
 type recordSet struct {
 	records map[catkinrail.FlowKey]entry
-	// untrackedAt is the time at which a half-open record was last removed or a
-	// record was last refused for lack of room.
+	// untrackedAt is the time at which a half-open record was last removed or a new
+	// record last had no room.
 	untrackedAt int64
 	// evictedAt is the time of the last eviction.
 	evictedAt int64
@@ -122,7 +122,7 @@
 	return &t.shards[(uint32(b.Service)*31+b.Number)%numShards]
 }
 
-// PacketInfo describes a packet to the record of its flow.
+// PacketInfo holds what Touch needs to know about a packet.
 type PacketInfo struct {
 	// Now is the time of the packet, in nanoseconds of the clock.
 	Now int64
@@ -181,9 +181,8 @@
 	return *r, true
 }
 
-// MarkStored records that the bucket received records at the given time. Records
-// copied from another replica need it, because they keep the time of the flow's
-// last packet.
+// MarkStored sets the time at which the bucket last received records. Records copied
+// from another replica need it, because they keep the time of the flow's last packet.
 func (t *Table) MarkStored(b Bucket, now int64) {
 	sh := t.shard(b)
 	sh.mu.Lock()
--- a/state/journal/frame.go
+++ b/state/journal/frame.go
@@ -1,7 +1,7 @@
 // Package journal stores a control instance's log and snapshots on disk.
 //
 // A segment is a file of frames. Each frame is written and synced before the
-// next one, so that a crash can tear only the last frame, which Open truncates.
+// next one, so that a crash can tear only the last frame, which Open removes.
 // Any other corruption is an error.
 package journal
 
--- a/state/journal/journal.go
+++ b/state/journal/journal.go
@@ -24,7 +24,7 @@
 const maxSegmentSize = 8 << 20
 
 // ErrFailed reports that an earlier Save or SaveSnapshot failed. What is on disk is
-// unknown until the journal is opened again.
+// unknown until the process restarts and opens the journal again.
 var ErrFailed = errors.New("journal is unusable after an earlier error")
 
 // batch is the payload of a segment's frame.
@@ -248,8 +248,8 @@
 }
 
 // Save writes and syncs a hard state, if it isn't nil, and entries. After an error
-// every further call returns ErrFailed: the journal must be opened again to read
-// what is on disk.
+// every further call returns ErrFailed: the process must restart and open the
+// journal again to read what is on disk.
 func (j *Journal) Save(hard *quorum.HardState, entries []quorum.Entry) error {
 	if j.failed != nil {
 		return errors.Join(ErrFailed, j.failed)
