--- a/control/core/core.go
+++ b/control/core/core.go
@@ -120,7 +120,8 @@
 	synced   atomic.Int64
 }
 
-// proposal is a change of the cluster state on its way into the log.
+// proposal is a change of the cluster state that is not committed yet: it waits to be
+// appended to the log, or its entry is in the log.
 type proposal struct {
 	// evaluate returns the events to propose, and the answer for the caller.
 	evaluate func(*cluster.State) ([]cluster.Event, *cluster.Answer, error)
@@ -341,10 +342,10 @@
 // compact replaces the applied part of a long log by a snapshot.
 func (c *Core) compact() error {
 	applied := c.node.AppliedIndex()
-	if !c.cfg.Journal.NeedsSnapshot() && c.node.LastIndex()-c.firstIndex() < maxLogEntries {
+	if !c.cfg.Journal.NeedsSnapshot() && c.node.LastIndex()-c.snapshotIndex() < maxLogEntries {
 		return nil
 	}
-	if applied == c.firstIndex() {
+	if applied == c.snapshotIndex() {
 		return nil
 	}
 	data, err := cluster.Encode(c.state)
@@ -359,7 +360,7 @@
 	return nil
 }
 
-func (c *Core) firstIndex() uint64 {
+func (c *Core) snapshotIndex() uint64 {
 	return c.node.SnapshotIndex()
 }
 
--- a/control/core/document.go
+++ b/control/core/document.go
@@ -131,7 +131,8 @@
 }
 
 // beginRead begins a read and returns the index that must be applied before it is
-// answered. done receives nil once a majority has confirmed the leader.
+// answered. done receives nil once a majority has confirmed the leader, or an error
+// if this instance doesn't lead.
 func (c *Core) beginRead(done chan error) uint64 {
 	mark, index, err := c.node.BeginRead(c.now())
 	if err != nil {
@@ -159,8 +160,8 @@
 }
 
 // evictSilent removes, on the leader, a member that has not answered for
-// EvictAfter, so that an instance that is lost doesn't count towards the quorum
-// for ever. An instance that comes back joins again.
+// EvictAfter. Otherwise lost instances would stay voters for ever, and the quorum
+// would survive fewer further failures. An instance that comes back joins again.
 func (c *Core) evictSilent() {
 	if c.cfg.EvictAfter <= 0 || !c.leader.active {
 		return
--- a/control/core/document_test.go
+++ b/control/core/document_test.go
@@ -268,7 +268,7 @@
 	require.Equal(t, 3, tc.leader().Snapshot().Members.Voters())
 }
 
-func TestPackedChangeRoundTrip(t *testing.T) {
+func TestCompressedChangeRoundTrip(t *testing.T) {
 	big := doc(1, string(make([]byte, 100_000)))
 	data, err := cluster.EncodeCompressed(&cluster.Change{Version: 1, Events: []cluster.Event{{DocumentPut: big}}})
 	require.NoError(t, err)
--- a/control/core/leader.go
+++ b/control/core/leader.go
@@ -54,7 +54,7 @@
 	leaseEnd int64
 	// currentAt is the time at which the instance last had the latest version.
 	currentAt int64
-	member    plan.InstanceStatus
+	status    plan.InstanceStatus
 	leaving   bool
 }
 
@@ -108,17 +108,17 @@
 	}
 	l.compensateStall(c, now)
 	l.plannedAt = now
-	members := make(map[catkinrail.InstanceID]plan.InstanceStatus, len(l.instances))
+	statuses := make(map[catkinrail.InstanceID]plan.InstanceStatus, len(l.instances))
 	for id, e := range l.instances {
 		if c.state.Instances[id] == nil {
 			delete(l.instances, id)
 			continue
 		}
-		m := e.member
-		m.Leased = now < e.leaseEnd
-		members[id] = m
+		status := e.status
+		status.Leased = now < e.leaseEnd
+		statuses[id] = status
 	}
-	l.planner.Observe(members)
+	l.planner.Observe(statuses)
 	events := l.planner.Next(c.state, time.Unix(0, now))
 	if len(events) == 0 {
 		events = l.expire(c, now)
@@ -215,7 +215,7 @@
 		l.instances[hb.ID] = e
 	}
 	e.leaseEnd = max(e.leaseEnd, now+l.maxLease(c))
-	e.member = plan.InstanceStatus{Version: hb.StateVersion, Synced: hb.Synced, Busy: hb.Busy}
+	e.status = plan.InstanceStatus{Version: hb.StateVersion, Synced: hb.Synced, Busy: hb.Busy}
 	if hb.StateVersion >= c.state.Version {
 		e.currentAt = now
 	}
@@ -381,8 +381,8 @@
 type EntryStatus struct {
 	Leased  bool
 	Version uint64
-	// Lag is the time since the instance last had the latest version; zero if it has
-	// it.
+	// Lag is the time since the instance last had the latest version; zero while it
+	// has that version.
 	Lag time.Duration
 }
 
@@ -400,8 +400,8 @@
 	}
 	s.Match[c.node.ID()] = c.node.LastIndex()
 	for id, e := range c.leader.instances {
-		status := EntryStatus{Leased: now < e.leaseEnd, Version: e.member.Version}
-		if e.member.Version < c.state.Version {
+		status := EntryStatus{Leased: now < e.leaseEnd, Version: e.status.Version}
+		if e.status.Version < c.state.Version {
 			status.Lag = time.Duration(now - e.currentAt)
 		}
 		s.Entries[id] = status
--- a/control/core/members.go
+++ b/control/core/members.go
@@ -17,13 +17,13 @@
 // becomes a voter.
 const maxPromotionLag = 16
 
-// Greeting returns the identity of this instance and the index of its last entry.
-func (c *Core) Greeting(ctx context.Context) (*message.HelloReply, error) {
-	g := &message.HelloReply{}
+// Hello returns the identity of this instance and the index of its last entry.
+func (c *Core) Hello(ctx context.Context) (*message.HelloReply, error) {
+	reply := &message.HelloReply{}
 	err := c.do(ctx, func() {
-		*g = message.HelloReply{Node: c.node.ID(), Name: c.cfg.Name, LastIndex: c.node.LastIndex()}
+		*reply = message.HelloReply{Node: c.node.ID(), Name: c.cfg.Name, LastIndex: c.node.LastIndex()}
 	})
-	return g, err
+	return reply, err
 }
 
 // memberTimeout is the time without being in sync with a leader after which an
--- a/control/entry/server.go
+++ b/control/entry/server.go
@@ -55,7 +55,7 @@
 	if err := rpc.RequireRole(ctx, rpc.RoleControl); err != nil {
 		return nil, err
 	}
-	g, err := s.core.Greeting(ctx)
+	g, err := s.core.Hello(ctx)
 	return encodeReply(g, err)
 }
 
