--- a/control/document/store.go
+++ b/control/document/store.go
@@ -24,7 +24,7 @@
 const (
 	// attemptTimeout limits one call. An election takes about as long.
 	attemptTimeout = 600 * time.Millisecond
-	// retryInterval is the longest time between two attempts.
+	// retryInterval is the longest wait between two attempts.
 	retryInterval = 20 * time.Millisecond
 )
 
--- a/control/gossip/gossip.go
+++ b/control/gossip/gossip.go
@@ -29,16 +29,16 @@
 	renewalInterval = 300 * time.Millisecond
 	// digestInterval is the time between two comparisons of digests with a peer.
 	digestInterval = 2 * time.Second
-	// callTimeout bounds a call, so that a dead connection is replaced well within
-	// that time.
+	// callTimeout bounds a call, so that a connection that no longer delivers
+	// anything is replaced well within the time in which a draining backend server
+	// must stop getting new flows.
 	callTimeout = 600 * time.Millisecond
 	// peerRefreshInterval is the time between two updates of the list of peers.
 	peerRefreshInterval = 300 * time.Millisecond
 	// tickInterval is the time between two checks for silent backend servers.
 	tickInterval = 100 * time.Millisecond
-	// stallThreshold is the time between two ticks above which this process is
-	// assumed to have been paused, so that missing reports aren't held against
-	// the backend servers.
+	// stallThreshold is the time between two ticks above which this process counts
+	// as stalled, rather than the backend servers as silent.
 	stallThreshold = 500 * time.Millisecond
 	// saveLogInterval is the least time between two log lines about failures to
 	// save the directory.
@@ -129,11 +129,11 @@
 }
 
 // Leave implements catkinrail.BackendRegistry.
-func (d *Directory) Leave(name string, born int64) {
+func (d *Directory) Leave(name string, startedAt int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.dir.Leave(name, born, d.now()) == directory.Changed {
-		d.cfg.Log.Info().Str("backend", name).Int64("born", born).Msg("backend server left")
+	if d.dir.Leave(name, startedAt, d.now()) == directory.Changed {
+		d.cfg.Log.Info().Str("backend", name).Int64("born", startedAt).Msg("backend server left")
 		d.notifyChange()
 	}
 }
@@ -232,14 +232,15 @@
 }
 
 // checkSilence marks the backend servers that have not reported in time, except
-// while a member can't be reached. A pause of this process is not counted.
+// while a member can't be reached. Time in which this process was stalled doesn't
+// count.
 func (d *Directory) checkSilence() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	if pause := now - d.lastTick; d.lastTick != 0 && pause > int64(stallThreshold) {
-		d.cfg.Log.Info().Int64("held-ms", pause/1e6).Msg("process was held up")
-		d.dir.CompensatePause(pause)
+	if stall := now - d.lastTick; d.lastTick != 0 && stall > int64(stallThreshold) {
+		d.cfg.Log.Info().Int64("held-ms", stall/1e6).Msg("process was held up")
+		d.dir.CompensatePause(stall)
 	}
 	d.lastTick = now
 	if d.memberUnreachable() {
--- a/control/gossip/gossip_test.go
+++ b/control/gossip/gossip_test.go
@@ -56,7 +56,7 @@
 	p.a.recordResult(p.link, at, nil)
 }
 
-// failCall lets a's next call to b fail.
+// failCall records at a that a call to b failed.
 func (p *pair) failCall() {
 	p.a.recordResult(p.link, 0, fake.ErrCrashed)
 }
@@ -131,7 +131,7 @@
 	}
 	p.advance(silentAfter + time.Millisecond)
 	p.b.checkSilence()
-	require.False(t, view(t, p.b, "s1").Silent, "b itself was paused for that long")
+	require.False(t, view(t, p.b, "s1").Silent, "b itself was stalled for that long")
 	for range 40 {
 		p.advance(100 * time.Millisecond)
 		p.b.checkSilence()
