--- a/control/cmd/catkinrail-control/daemon.go
+++ b/control/cmd/catkinrail-control/daemon.go
@@ -42,8 +42,8 @@
 	bootstrapInterval = 200 * time.Millisecond
 )
 
-// daemon runs a control instance. Its creator sets cfg, log and bootstrap, and run
-// the other fields.
+// daemon runs a control instance. Its creator sets cfg, log and bootstrap; the method
+// run sets the other fields.
 type daemon struct {
 	cfg *Settings
 	log *logs.Logger
@@ -224,8 +224,8 @@
 }
 
 // keepJoined requests to join, at an interval, while this instance isn't a voter with
-// its own name and addresses. It also does so without contact to a leader: the
-// instance may have been removed while it was away.
+// its own name and addresses. It also does so while the instance is out of contact
+// with a leader, since it may have been removed in that time.
 func (d *daemon) keepJoined(ctx context.Context, c *core.Core, v *voter.Transport) error {
 	req := &message.JoinRequest{Node: d.identity.Node, Peer: d.self()}
 	ticker := time.NewTicker(joinInterval)
--- a/control/cmd/catkinrail-control/settings.go
+++ b/control/cmd/catkinrail-control/settings.go
@@ -46,7 +46,7 @@
 	// no new flows.
 	SilentAfter time.Duration `yaml:"silent-after"`
 	// NoLeases is set if all entry instances route by token and need no leases. The
-	// control instances then elect a leader sooner after all of them were lost.
+	// control instances then elect a leader sooner after all of them have stopped.
 	NoLeases bool `yaml:"no-leases"`
 	// Metrics is the address of the metrics and health pages; empty for none.
 	Metrics string          `yaml:"metrics"`
