--- a/transport/rpc/middle_test.go
+++ b/transport/rpc/middle_test.go
@@ -25,57 +25,57 @@
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	m := &proxy{l: l, to: to, blackholed: map[net.Conn]bool{}}
-	m.group.Go(func() error { m.accept(); return nil })
+	p := &proxy{l: l, to: to, blackholed: map[net.Conn]bool{}}
+	p.group.Go(func() error { p.accept(); return nil })
 	t.Cleanup(func() {
 		l.Close()
-		m.mu.Lock()
-		for _, c := range m.conns {
+		p.mu.Lock()
+		for _, c := range p.conns {
 			c.Close()
 		}
-		m.mu.Unlock()
-		require.NoError(t, m.group.Wait())
+		p.mu.Unlock()
+		require.NoError(t, p.group.Wait())
 	})
-	return m
+	return p
 }
 
-func (m *proxy) addr() string { return m.l.Addr().String() }
+func (p *proxy) addr() string { return p.l.Addr().String() }
 
-func (m *proxy) blackhole() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for _, c := range m.conns {
-		m.blackholed[c] = true
+func (p *proxy) blackhole() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, c := range p.conns {
+		p.blackholed[c] = true
 	}
 }
 
-func (m *proxy) accept() {
+func (p *proxy) accept() {
 	for {
-		near, err := m.l.Accept()
+		near, err := p.l.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", m.to)
+		far, err := net.Dial("tcp", p.to)
 		if err != nil {
 			near.Close()
 			continue
 		}
-		m.mu.Lock()
-		m.conns = append(m.conns, near, far)
-		m.mu.Unlock()
-		m.group.Go(func() error { m.forward(near, far); return nil })
-		m.group.Go(func() error { m.forward(far, near); return nil })
+		p.mu.Lock()
+		p.conns = append(p.conns, near, far)
+		p.mu.Unlock()
+		p.group.Go(func() error { p.forward(near, far); return nil })
+		p.group.Go(func() error { p.forward(far, near); return nil })
 	}
 }
 
 // forward copies bytes, and drops them once the connection is black-holed.
-func (m *proxy) forward(from, to net.Conn) {
+func (p *proxy) forward(from, to net.Conn) {
 	b := make([]byte, 4096)
 	for {
 		n, err := from.Read(b)
-		m.mu.Lock()
-		drop := m.blackholed[from]
-		m.mu.Unlock()
+		p.mu.Lock()
+		drop := p.blackholed[from]
+		p.mu.Unlock()
 		if err != nil {
 			to.Close()
 			return
--- a/transport/rpc/rpc.go
+++ b/transport/rpc/rpc.go
@@ -31,7 +31,8 @@
 	maxIdle = 4
 )
 
-// ErrInsecure reports a listener without TLS on an address that isn't loopback.
+// ErrInsecure reports a listener or a connection without TLS at an address that isn't
+// loopback, where the network isn't declared as trusted.
 var ErrInsecure = errors.New("TLS is off and the address is not loopback")
 
 // Listen opens a TCP listener for calls, with TLS unless the settings turn it off. It
@@ -73,9 +74,9 @@
 	return catkinrail.At(err, "serve", l.Addr().String())
 }
 
-// Client makes calls to one peer. It reuses connections between calls, but closes one
-// that was closed by the peer or on which a call timed out, so that the next call
-// replaces a connection that no longer delivers anything.
+// Client makes calls to one peer. It keeps connections for later calls, but not one
+// that has been closed or on which a call timed out or was cancelled. A connection
+// that no longer delivers anything is thus replaced by the next call.
 type Client struct {
 	addr  string
 	creds *Credentials
