--- a/control/document/store.go
+++ b/control/document/store.go
@@ -128,15 +128,15 @@
 	if !ok {
 		return 0, errNoLeader
 	}
-	var mark message.ReadIndexReply
+	var reply message.ReadIndexReply
 	err := s.clients.Get(leader.Addr).Call(ctx, "read index", attemptTimeout, func(ctx context.Context, conn drpc.Conn) error {
 		f, err := control.NewDRPCControlClient(conn).ReadIndex(ctx, &control.Frame{})
 		if err != nil {
 			return err
 		}
-		return cluster.Decode(f.GetBody(), &mark)
+		return cluster.Decode(f.GetBody(), &reply)
 	})
-	return mark.Index, err
+	return reply.Index, err
 }
 
 // awaitApplied waits until this instance has applied the index and returns the
