--- a/control/gossip/gossip.go
+++ b/control/gossip/gossip.go
@@ -240,7 +240,7 @@
 	now := d.now()
 	if stall := now - d.lastTick; d.lastTick != 0 && stall > int64(stallThreshold) {
 		d.cfg.Log.Info().Int64("held-ms", stall/1e6).Msg("process was held up")
-		d.dir.CompensatePause(stall)
+		d.dir.CompensateStall(stall)
 	}
 	d.lastTick = now
 	if d.memberUnreachable() {
