--- a/document.go
+++ b/document.go
@@ -136,7 +136,7 @@
 // may be able to.
 var ErrUnavailable = errors.New("not available at this instance for now")
 
-// DocumentStore keeps the operators' document.
+// DocumentStore keeps the operator's document.
 type DocumentStore interface {
 	// PutDocument returns once the document, or a newer one, is committed. A
 	// document that is not newer than the one in force changes nothing.
--- a/flow.go
+++ b/flow.go
@@ -39,7 +39,7 @@
 type Record struct {
 	Key  FlowKey
 	Slot SlotID
-	// Epoch is the configuration version under which the slot was chosen. Of
+	// Epoch is the state version under which the slot was chosen. Of
 	// two records for one flow the lower epoch wins, because packets may already
 	// have been forwarded by it.
 	Epoch uint64
--- a/routing.go
+++ b/routing.go
@@ -145,7 +145,8 @@
 	ID      uint64    `cbor:"1,keyasint"`
 	Service ServiceID `cbor:"2,keyasint"`
 	Phase   Phase     `cbor:"3,keyasint"`
-	// Version is the state version at which the current phase began.
+	// Version is the state version at which the current phase began or, if later,
+	// at which a bucket of the open move last got another slot.
 	Version uint64   `cbor:"4,keyasint"`
 	Buckets []uint16 `cbor:"5,keyasint"`
 }
--- a/service.go
+++ b/service.go
@@ -12,8 +12,9 @@
 type Balance string
 
 const (
-	// BalanceHashed assigns flows by bucket and keeps records only for flows that
-	// their bucket doesn't place correctly. It relays the fewest packets.
+	// BalanceHashed assigns flows by bucket. It keeps records only where flows may
+	// be on another slot than their bucket's, as while the bucket moves. It relays
+	// the fewest packets.
 	BalanceHashed Balance = "hashed"
 	// BalanceTracked keeps a record of every flow and assigns each new flow to
 	// the least loaded slot. It relays the most packets.
