--- a/state/burn/burn.go
+++ b/state/burn/burn.go
@@ -61,7 +61,7 @@
 	return c.ImbalanceSum / float64(c.Samples)
 }
 
-// Meter counts the flows of one service.
+// Meter keeps the counts of one service.
 type Meter struct {
 	rings [][]slot
 }
@@ -118,7 +118,7 @@
 	Window string
 	Counts
 	BrokenBurn, RefusedBurn, ImbalanceBurn float64
-	// Cause is what spent the most of its budget, empty if nothing did.
+	// Cause names the objective with the highest burn rate, empty if all are zero.
 	Cause string
 }
 
--- a/state/directory/directory.go
+++ b/state/directory/directory.go
@@ -1,5 +1,5 @@
 // Package directory keeps what control instances know of backend servers. It is a map
-// in which the last writer wins, by start and sequence, so that instances agree
+// in which the last writer wins, by start time and sequence, so that instances agree
 // without a leader once they have received the same reports, in any order.
 package directory
 
@@ -24,11 +24,12 @@
 	// warmUntil is the time at which its warm-up ends.
 	warmUntil int64
 	silent    bool
-	// revision is that of the last change that other instances need.
+	// revision is that of the last change. A renewal is not a change.
 	revision uint64
 	// reportRevision is that of the last report or change.
 	reportRevision uint64
-	// local is set if the last complete report came from the backend server itself.
+	// local is set if the last complete report or leave came from the backend server
+	// itself.
 	local bool
 }
 
@@ -49,8 +50,8 @@
 	entries     map[string]*entry
 	byAddr      map[netip.AddrPort]string
 	revision    uint64
-	// changes lists the changes that other instances need, oldest first. The latest
-	// one of an entry is always among them.
+	// changes lists the changes that other instances must receive, oldest first. The
+	// latest one of an entry is always among them.
 	changes []change
 }
 
@@ -60,8 +61,8 @@
 	name     string
 }
 
-// recordChange gives an entry the next revision, as a change that other instances
-// need.
+// recordChange gives an entry the next revision, for a change that other instances
+// must receive.
 func (d *Directory) recordChange(name string, e *entry) {
 	d.revision++
 	e.revision, e.reportRevision = d.revision, d.revision
@@ -92,7 +93,7 @@
 	Ignored Outcome = iota
 	// Renewed is a report that changed no state but the time of the last report.
 	Renewed
-	// Changed is a report that changed what other instances need.
+	// Changed is a report with a change that other instances must receive.
 	Changed
 )
 
@@ -169,14 +170,14 @@
 	d.recordChange(e.inc.Name, e)
 }
 
-// Leave ends the incarnation of the name that started at born, or the known one if born
-// is zero.
-func (d *Directory) Leave(name string, born, now int64) Outcome {
+// Leave ends the incarnation of the name that started at startedAt, or the known one if
+// startedAt is zero.
+func (d *Directory) Leave(name string, startedAt, now int64) Outcome {
 	e := d.entries[name]
-	if e == nil || e.inc.Gone || (born != 0 && born < e.inc.StartedAt) {
+	if e == nil || e.inc.Gone || (startedAt != 0 && startedAt < e.inc.StartedAt) {
 		return Ignored
 	}
-	e.inc.StartedAt = max(e.inc.StartedAt, born)
+	e.inc.StartedAt = max(e.inc.StartedAt, startedAt)
 	e.lastReport, e.local = now, true
 	d.end(e)
 	return Changed
@@ -184,12 +185,12 @@
 
 // Renew applies a renewal that another instance has forwarded. It returns false if the
 // renewed state isn't known here, so that the complete report must be fetched.
-func (d *Directory) Renew(name string, born int64, sequence uint64, draining bool, now int64) bool {
+func (d *Directory) Renew(name string, startedAt int64, sequence uint64, draining bool, now int64) bool {
 	e := d.entries[name]
-	if e == nil || e.inc.StartedAt < born {
+	if e == nil || e.inc.StartedAt < startedAt {
 		return false
 	}
-	if e.inc.StartedAt != born || e.inc.Gone || e.inc.Sequence >= sequence {
+	if e.inc.StartedAt != startedAt || e.inc.Gone || e.inc.Sequence >= sequence {
 		return true
 	}
 	if e.inc.Draining != draining {
@@ -204,8 +205,9 @@
 	return true
 }
 
-// Tick marks backend servers that have fallen silent and expires those that ended or
-// fell silent long ago. It returns the names of the newly silent ones.
+// Tick marks backend servers that have fallen silent. It expires ended and silent ones
+// whose last report or leave is older than catkinrail.EndedRetention. It returns the
+// names of the newly silent ones.
 func (d *Directory) Tick(now int64) []string {
 	var silent []string
 	for name, e := range d.entries {
@@ -240,7 +242,8 @@
 	return d.revision
 }
 
-// LastChange returns the revision of the last change that other instances need.
+// LastChange returns the revision of the last change, zero if there was none. A renewal
+// is not a change.
 func (d *Directory) LastChange() uint64 {
 	if len(d.changes) == 0 {
 		return 0
--- a/state/directory/directory_test.go
+++ b/state/directory/directory_test.go
@@ -24,9 +24,9 @@
 	leave bool
 }
 
-func report(name string, born int64, sequence uint64, addr int) catkinrail.Incarnation {
+func report(name string, startedAt int64, sequence uint64, addr int) catkinrail.Incarnation {
 	return catkinrail.Incarnation{
-		Name: name, Identity: 1, StartedAt: born, Sequence: sequence, Service: "logbook", Slots: 2, Zone: "a",
+		Name: name, Identity: 1, StartedAt: startedAt, Sequence: sequence, Service: "logbook", Slots: 2, Zone: "a",
 		Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(addr)}), 80),
 	}
 }
@@ -128,12 +128,12 @@
 	changed, renewed = d.LocalSince(at, second)
 	require.Empty(t, changed)
 	require.Len(t, renewed, 1)
-	require.Empty(t, d.Since(at, second), "entry instances are not told of renewals")
+	require.Empty(t, d.Since(at, second), "renewals are not sent to entry instances")
 }
 
 // TestOrderDoesNotMatter checks that directories that received the same reports in
 // different orders, one of them each report twice, agree on the incarnations that have
-// not ended.
+// not ended once they have exchanged all entries.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []change
@@ -141,14 +141,14 @@
 		leaving := map[string]bool{}
 		for range n {
 			name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
-			born := rapid.Int64Range(1, 3).Draw(t, "born")
-			// An incarnation keeps its address and drains from its third report on.
-			addr := int(born)%2 + len(name)
+			start := rapid.Int64Range(1, 3).Draw(t, "start")
+			// An incarnation keeps its address and drains from sequence number 3 on.
+			addr := int(start)%2 + len(name)
 			sequence := rapid.Uint64Range(1, 4).Draw(t, "sequence")
-			inc := report(name, born*10+int64(name[0]-'a'), sequence, addr)
+			inc := report(name, start*10+int64(name[0]-'a'), sequence, addr)
 			inc.Draining = sequence >= 3
 			leave := rapid.Bool().Draw(t, "leave") && sequence == 4
-			leaving[fmt.Sprint(name, born)] = leave
+			leaving[fmt.Sprint(name, start)] = leave
 			if leave {
 				inc.Gone = true
 			}
