--- a/coordination/plan/forget_test.go
+++ b/coordination/plan/forget_test.go
@@ -37,8 +37,9 @@
 	checkBalance(t, h.state, h.service())
 }
 
-// TestDrainedServersDoNotBlockRemoval ends more drained backend servers, which are
-// kept, than one change removes. The others must be removed nevertheless.
+// TestDrainedServersDoNotBlockRemoval ends more drained backend servers than one change
+// removes. They are kept, and come before others that ended. The others must be removed
+// nevertheless.
 func TestDrainedServersDoNotBlockRemoval(t *testing.T) {
 	const drained, others = 100, 30
 	h := newHarness(t)
--- a/coordination/plan/members.go
+++ b/coordination/plan/members.go
@@ -284,8 +284,8 @@
 	return []cluster.Event{{InstancePut: &put}}
 }
 
-// CompleteLeave returns the events that remove an entry instance which has completed its
-// graceful shutdown.
+// CompleteLeave returns the events that remove an entry instance which has completed
+// its graceful shutdown.
 func CompleteLeave(s *cluster.State, id catkinrail.InstanceID) []cluster.Event {
 	d := &draft{state: s}
 	d.removeInstances([]catkinrail.InstanceID{id})
@@ -358,9 +358,9 @@
 	d.add(cluster.Event{ViewSet: &v})
 }
 
-// PrepareExceptions returns the events that make every instance look up the flows of settled
-// buckets in which a partitioned zone placed flows on other slots. They prepare a move
-// of each bucket to its current slot.
+// PrepareExceptions returns the events that make every instance look up the flows of
+// settled buckets in which a partitioned zone placed flows on other slots. They prepare
+// a move of each bucket to its current slot.
 func PrepareExceptions(s *cluster.State, service catkinrail.ServiceID, buckets []uint32) []cluster.Event {
 	svc := s.Services[service]
 	if svc == nil {
--- a/coordination/plan/moves.go
+++ b/coordination/plan/moves.go
@@ -132,8 +132,8 @@
 	return b == nil || b.State == catkinrail.BackendGone
 }
 
-// reassign returns the bucket with a new owner. curEnded tells that its current slot
-// can hold no flow.
+// reassign returns the bucket with a new owner. curEnded is set if its current slot can
+// hold no flow.
 //
 // A settled bucket is prepared first. A bucket in Prepare has placed no flow on
 // its next slot yet, so the next slot is replaced. A bucket in Open already keeps
--- a/coordination/plan/plan_test.go
+++ b/coordination/plan/plan_test.go
@@ -193,8 +193,9 @@
 	}
 }
 
-// TestColdServerWarmsUp adds a backend server to seven others. It must get its share
-// in steps, and only buckets that it takes over may move.
+// TestColdServerWarmsUp adds a backend server to seven others. It must get its share in
+// four steps, of which the test checks the first and the last, and only buckets that it
+// takes over may move.
 func TestColdServerWarmsUp(t *testing.T) {
 	h := newHarness(t)
 	h.register("entry-1", "kochi")
--- a/coordination/plan/planner.go
+++ b/coordination/plan/planner.go
@@ -31,7 +31,7 @@
 type InstanceStatus struct {
 	// Leased is set while the instance may hold a lease.
 	Leased bool
-	// Version is the configuration version that the instance acknowledged.
+	// Version is the state version that the instance acknowledged.
 	Version uint64
 	// Synced is the version of the view for which the instance has handed over
 	// all records that other replicas need.
@@ -59,8 +59,8 @@
 	// inForceSince is the time at which a move's version was first seen to be in
 	// force on every entry instance.
 	inForceSince map[moveStep]time.Time
-	// lastUnrecorded is the time of the last packet without a record, by move, or of
-	// the move's opening if that is later.
+	// lastUnrecorded is the time of the last packet without a record, by open move, or
+	// the time since which the move's version is in force if that is later.
 	lastUnrecorded map[uint64]time.Time
 	// unassignedSince is the time at which a service without assigned buckets was
 	// first seen to have an active backend server.
@@ -71,8 +71,8 @@
 	// endedSince is the time at which a backend server was first seen to have ended,
 	// or was last found to be still needed.
 	endedSince map[catkinrail.BackendID]time.Time
-	// viewPendingSince is the time at which a change of view was first planned and
-	// had to wait; zero if none is pending.
+	// viewPendingSince is the time at which a change of view was first wanted. It is
+	// reset to zero when a change of view begins.
 	viewPendingSince time.Time
 	// unleasedSince is the time at which an instance was first seen without a lease.
 	unleasedSince map[catkinrail.InstanceID]time.Time
