--- a/coordination/overload/replay_test.go
+++ b/coordination/overload/replay_test.go
@@ -18,7 +18,7 @@
 	surgeFrom      = 1000
 	surgeUntil     = 5000
 	// requestTimeoutMS is a caller's timeout for a request, and openTimeoutMS the time
-	// after which an opening packet no longer opens its flow.
+	// after which it gives up a flow whose opening packets were left unanswered.
 	requestTimeoutMS = 1200
 	openTimeoutMS    = 1400
 	// openFlows are kept open by callers that pause for pauseMS between requests of
--- a/coordination/place/loads_test.go
+++ b/coordination/place/loads_test.go
@@ -24,17 +24,17 @@
 	longFlows = 60
 	// flowRequests is the number of requests in such a flow.
 	flowRequests = 20
-	// longPause is the mean pause between two of them, and shortInterval the mean
-	// time between two flows of a single request in a zone: together they use a
-	// third of the slots.
+	// longPause is the mean pause between two requests of a long flow, and
+	// shortInterval the mean time between two flows of a single request in a zone:
+	// together they use a third of the slots.
 	longPause     = 900 * time.Millisecond
 	shortInterval = 20 * time.Millisecond
 	// latencyTarget is the time after which an answer counts as late.
 	latencyTarget = 120 * time.Millisecond
 	// retransmitAfter is the time after which a caller retransmits an opening packet.
 	retransmitAfter = 200 * time.Millisecond
-	// updateDelay is the time until entry instances are told of a new or draining
-	// backend server, and silentDelay until they are told that one is silent.
+	// updateDelay is the time until entry instances receive the state of a new or
+	// draining backend server, and silentDelay until they receive that one is silent.
 	updateDelay = 100 * time.Millisecond
 	silentDelay = 3400 * time.Millisecond
 	// warmupTime is how long a backend server is coldFactor times slower after its
--- a/coordination/place/place_test.go
+++ b/coordination/place/place_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestChooseSkipsDraining checks that no draining candidate is chosen, and that one is
-// chosen whenever another exists.
+// TestChooseSkipsDraining checks that a candidate is chosen whenever one that isn't
+// draining exists, and that it isn't draining.
 func TestChooseSkipsDraining(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []place.Candidate
@@ -122,7 +122,7 @@
 
 const replaySlots = 2
 
-// run returns the latencies of all requests, sorted.
+// run returns the latencies of all answered requests, sorted.
 func (r *replay) run(seed uint64) []time.Duration {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	type request struct {
--- a/coordination/token/engine.go
+++ b/coordination/token/engine.go
@@ -22,7 +22,8 @@
 	Drop Action = iota
 	// Forward means that the packet is sent to the verdict's backend server.
 	Forward
-	// Refuse means that the caller is told at once that the flow doesn't exist.
+	// Refuse means that the caller is sent a reset at once, because the flow doesn't
+	// exist.
 	Refuse
 )
 
@@ -98,7 +99,7 @@
 // Timeouts and their parameters.
 const (
 	// retransmitGap is the time after an opening packet was forwarded from which a
-	// copy shows that it was left unanswered. Callers retransmit after 200 ms;
+	// copy shows that it was left unanswered. Callers retransmit first after 200 ms;
 	// copies that were queued here together are closer to each other.
 	retransmitGap = 120 * time.Millisecond
 	// staleAfter is the time since the last contact with control after which the
--- a/coordination/token/engine_test.go
+++ b/coordination/token/engine_test.go
@@ -344,7 +344,7 @@
 }
 
 // TestEndedIncarnationsExpire checks that ended and silent incarnations are removed
-// after catkinrail.KeepEnded, so that releases over a year don't fill the memory.
+// after catkinrail.EndedRetention, so that releases over a year don't fill the memory.
 func TestEndedIncarnationsExpire(t *testing.T) {
 	keep := int64(catkinrail.EndedRetention)
 	e := newEngine(backend("a", 1), backend("b", 2), backend("c", 3))
--- a/coordination/token/update.go
+++ b/coordination/token/update.go
@@ -109,7 +109,7 @@
 }
 
 // expireBackends removes the incarnations that ended or fell silent more than
-// catkinrail.KeepEnded ago.
+// catkinrail.EndedRetention ago.
 func (e *Engine) expireBackends(now int64) {
 	n := len(e.backends)
 	for name, b := range e.backends {
