--- a/emulator/experiment/run.go
+++ b/emulator/experiment/run.go
@@ -105,8 +105,8 @@
 		}
 	}
 	for _, f := range l.Flows {
-		if _, ok := counts[f.Server.Backend()]; ok && f.Opened > from && f.Opened < to {
-			counts[f.Server.Backend()]++
+		if _, ok := counts[f.Slot.Backend()]; ok && f.Opened > from && f.Opened < to {
+			counts[f.Slot.Backend()]++
 		}
 	}
 	return excess(slices.Collect(maps.Values(counts)))
--- a/emulator/experiment/scenario.go
+++ b/emulator/experiment/scenario.go
@@ -68,18 +68,18 @@
 
 // Policies lists the policies; the first one is the chosen one.
 var Policies = []Policy{
-	{"chosen", fake.Chosen, catkinrail.BalanceHashed, 3, true},
-	{"chosen-2-copies", fake.Chosen, catkinrail.BalanceHashed, 2, false},
-	{"chosen-1-copy", fake.Chosen, catkinrail.BalanceHashed, 1, false},
-	{"tracked", fake.Chosen, catkinrail.BalanceTracked, 3, true},
-	{"tracked-by-owner", fake.Chosen, catkinrail.BalanceTracked, 1, false},
+	{"chosen", fake.Phased, catkinrail.BalanceHashed, 3, true},
+	{"chosen-2-copies", fake.Phased, catkinrail.BalanceHashed, 2, false},
+	{"chosen-1-copy", fake.Phased, catkinrail.BalanceHashed, 1, false},
+	{"tracked", fake.Phased, catkinrail.BalanceTracked, 3, true},
+	{"tracked-by-owner", fake.Phased, catkinrail.BalanceTracked, 1, false},
 	{"one-step", fake.OneStep, catkinrail.BalanceHashed, 3, false},
 	{"hash-only", fake.HashOnly, catkinrail.BalanceHashed, 3, false},
 }
 
 // lab is a site that runs.
 type lab struct {
-	*fake.Net
+	*fake.Network
 	site    *Site
 	entries []*fake.Entry
 	servers map[string][]*fake.Server
@@ -113,15 +113,15 @@
 	{"zone-cut", false, func(l *lab) {
 		l.first(1).Drain()
 		z := l.site.Zones[0]
-		l.At(l.Now()+4*time.Second, func() { l.CutZone(z) })
+		l.At(l.Now()+4*time.Second, func() { l.PartitionZone(z) })
 		l.At(l.Now()+14*time.Second, func() { l.HealZone(z) })
 	}},
 }
 
 func newLab(site *Site, p Policy, seed uint64, scale int) *lab {
 	l := &lab{site: site, servers: map[string][]*fake.Server{}, scale: scale}
-	l.Net = fake.New(fake.Config{
-		Seed: seed, Policy: p.Kind, Copies: p.Copies, Loss: 0.002, Spread: time.Second,
+	l.Network = fake.New(fake.Config{
+		Seed: seed, Policy: p.Kind, Copies: p.Copies, Loss: 0.002, MaxUpdateDelay: time.Second,
 	})
 	for i, s := range site.Services {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{192, 0, 2, byte(i + 1)}), 443)
--- a/fake/entry.go
+++ b/fake/entry.go
@@ -19,7 +19,7 @@
 
 // Entry is an entry instance of the net.
 type Entry struct {
-	net    *Net
+	net    *Network
 	ID     catkinrail.InstanceID
 	Name   string
 	Zone   catkinrail.Zone
@@ -36,7 +36,7 @@
 }
 
 // AddEntry starts an entry instance.
-func (n *Net) AddEntry(name string, zone catkinrail.Zone) *Entry {
+func (n *Network) AddEntry(name string, zone catkinrail.Zone) *Entry {
 	n.incarnation++
 	n.nextNum++
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(n.nextNum >> 8), byte(n.nextNum)}), 7000)
@@ -45,7 +45,7 @@
 		panic(err)
 	}
 	n.Apply(events)
-	e := &Entry{net: n, ID: id, Name: name, Zone: zone, rate: 1 + n.cfg.Skew*(2*n.rng.Float64()-1)}
+	e := &Entry{net: n, ID: id, Name: name, Zone: zone, rate: 1 + n.cfg.MaxClockDrift*(2*n.rng.Float64()-1)}
 	e.Engine = route.New(route.Config{Zone: zone, Copies: n.cfg.Copies})
 	e.Engine.SetSelf(id)
 	n.Entries = append(n.Entries, e)
@@ -156,7 +156,7 @@
 	n.after(n.jitter(zoneDelay), func() { n.answerHeartbeat(e, sent, report, exceptions) })
 }
 
-func (n *Net) answerHeartbeat(e *Entry, sent int64, report plan.InstanceStatus, exceptions map[catkinrail.ServiceID][]uint32) {
+func (n *Network) answerHeartbeat(e *Entry, sent int64, report plan.InstanceStatus, exceptions map[catkinrail.ServiceID][]uint32) {
 	if n.State.Instances[e.ID] == nil {
 		e.expelled()
 		return
@@ -171,8 +171,8 @@
 	n.Stats.ControlBytes += controlOverhead + uint64(n.size(changes)) + uint64(16*len(report.Busy))
 	n.leases[e.ID] = &memberState{until: n.now + int64(n.lease()+leaseMargin), member: report}
 	delay := n.jitter(zoneDelay)
-	if len(changes) > 0 && n.cfg.Spread > 0 {
-		delay += time.Duration(n.rng.Int64N(int64(n.cfg.Spread)))
+	if len(changes) > 0 && n.cfg.MaxUpdateDelay > 0 {
+		delay += time.Duration(n.rng.Int64N(int64(n.cfg.MaxUpdateDelay)))
 	}
 	n.after(delay, func() {
 		if n.cut[e.Zone] || e.isolated {
@@ -199,7 +199,7 @@
 	}
 }
 
-func (n *Net) size(changes []cluster.Change) int {
+func (n *Network) size(changes []cluster.Change) int {
 	total := 0
 	for i := range changes {
 		b, err := cluster.Encode(changes[i])
--- a/fake/flow.go
+++ b/fake/flow.go
@@ -34,8 +34,8 @@
 type Flow struct {
 	Service catkinrail.ServiceID
 	State   FlowState
-	// Server is the slot that answered first.
-	Server catkinrail.SlotID
+	// Slot is the slot that answered first.
+	Slot catkinrail.SlotID
 	// Opened is the time, since the start, at which the flow was established.
 	Opened time.Duration
 	// Cause says what broke the flow.
@@ -67,7 +67,7 @@
 
 // Server is a stand-in backend server.
 type Server struct {
-	net     *Net
+	net     *Network
 	Name    string
 	service string
 	// serviceID is the identifier that the name stood for at the start.
@@ -83,7 +83,7 @@
 }
 
 // AddServer starts a backend server, which announces itself.
-func (n *Net) AddServer(service, name string, zone catkinrail.Zone, slots int) *Server {
+func (n *Network) AddServer(service, name string, zone catkinrail.Zone, slots int) *Server {
 	s := &Server{net: n, Name: name, service: service, Zone: zone}
 	for range slots {
 		n.nextNum++
@@ -125,13 +125,13 @@
 // Drain asks control, as an operator would, to give the server no new flows.
 func (s *Server) Drain() {
 	s.leaving = s.net.now
-	s.net.Must(&plan.Command{Drain: &plan.BackendRef{Service: s.service, Name: s.Name}})
+	s.net.MustExecute(&plan.Command{Drain: &plan.BackendRef{Service: s.service, Name: s.Name}})
 }
 
 // Readmit ends the draining.
 func (s *Server) Readmit() {
 	s.leaving = 0
-	s.net.Must(&plan.Command{Readmit: &plan.BackendRef{Service: s.service, Name: s.Name}})
+	s.net.MustExecute(&plan.Command{Readmit: &plan.BackendRef{Service: s.service, Name: s.Name}})
 }
 
 // Kill stops the server; control hears of it.
@@ -145,7 +145,7 @@
 	out := make([]int, len(s.flows))
 	for i, m := range s.flows {
 		for f := range m {
-			if f.State == Established && f.Server == catkinrail.MakeSlotID(s.id, i) {
+			if f.State == Established && f.Slot == catkinrail.MakeSlotID(s.id, i) {
 				out[i]++
 			}
 		}
@@ -154,13 +154,13 @@
 }
 
 // CreateService creates a service with the given settings.
-func (n *Net) CreateService(cfg catkinrail.ServiceConfig) {
-	n.Must(&plan.Command{Create: &cfg})
+func (n *Network) CreateService(cfg catkinrail.ServiceConfig) {
+	n.MustExecute(&plan.Command{Create: &cfg})
 }
 
 // Open starts a flow to the service that sends a packet in every period until
 // it ends after life, or never if life is zero.
-func (n *Net) Open(service string, every, life time.Duration) *Flow {
+func (n *Network) Open(service string, every, life time.Duration) *Flow {
 	svc := n.State.ServiceByName(service)
 	f := &Flow{Service: svc.ID, every: every}
 	if life > 0 {
@@ -178,13 +178,13 @@
 }
 
 // OpenMany starts count flows, evenly over a time.
-func (n *Net) OpenMany(service string, count int, over, every, life time.Duration) {
+func (n *Network) OpenMany(service string, count int, over, every, life time.Duration) {
 	for i := range count {
 		n.after(over*time.Duration(i)/time.Duration(count), func() { n.Open(service, every, life) })
 	}
 }
 
-func (n *Net) sendOpening(f *Flow) {
+func (n *Network) sendOpening(f *Flow) {
 	if f.State != Connecting {
 		return
 	}
@@ -203,7 +203,7 @@
 }
 
 // sendData sends a packet and repeats it until it is answered.
-func (n *Net) sendData(f *Flow) {
+func (n *Network) sendData(f *Flow) {
 	if f.State != Established {
 		return
 	}
@@ -229,7 +229,7 @@
 
 // spray hands a packet to any live entry, as the fabric does. A caller in a
 // zone that is cut off reaches the entries of that zone only.
-func (n *Net) spray(p packet) {
+func (n *Network) spray(p packet) {
 	n.Stats.Packets++
 	var live []*Entry
 	for _, e := range n.Entries {
@@ -244,21 +244,21 @@
 	n.after(n.jitter(callerDelay), func() { e.packet(p) })
 }
 
-func (n *Net) fabricReaches(f *Flow, e *Entry) bool {
+func (n *Network) fabricReaches(f *Flow, e *Entry) bool {
 	if f.zone == "" {
 		return !n.cut[e.Zone]
 	}
 	return n.reachable(f.zone, e.Zone)
 }
 
-// Pin makes the flow's packets enter through a zone that may be cut off.
-func (f *Flow) Pin(z catkinrail.Zone) *Flow {
+// PinToZone makes the flow's packets enter through a zone that may be cut off.
+func (f *Flow) PinToZone(z catkinrail.Zone) *Flow {
 	f.zone = z
 	return f
 }
 
 // toSlot delivers a packet from an entry to a backend server.
-func (n *Net) toSlot(from *Entry, addr netip.AddrPort, service catkinrail.ServiceID, p packet) {
+func (n *Network) toSlot(from *Entry, addr netip.AddrPort, service catkinrail.ServiceID, p packet) {
 	st := n.slots[addr]
 	if st == nil {
 		return
@@ -304,32 +304,32 @@
 }
 
 // toCaller delivers an answer, which goes from the server to the caller directly.
-func (n *Net) toCaller(run func()) {
+func (n *Network) toCaller(run func()) {
 	if n.lost() {
 		return
 	}
 	n.after(n.jitter(callerDelay), run)
 }
 
-func (n *Net) opened(f *Flow, slot catkinrail.SlotID) {
+func (n *Network) opened(f *Flow, slot catkinrail.SlotID) {
 	switch {
 	case f.State == Connecting:
 		f.State = Established
 		f.Opened = n.Now()
-		f.Server = slot
+		f.Slot = slot
 		n.sendData(f)
-	case f.State == Established && f.key.Proto == catkinrail.ProtoUDP && f.Server != slot:
+	case f.State == Established && f.key.Proto == catkinrail.ProtoUDP && f.Slot != slot:
 		f.fail(fmt.Sprintf("datagram at %s reached %s", n.Now(), slot))
 	case f.State == Established && f.key.Proto == catkinrail.ProtoUDP:
 		n.acked(f, slot)
 	}
 }
 
-func (n *Net) acked(f *Flow, slot catkinrail.SlotID) {
+func (n *Network) acked(f *Flow, slot catkinrail.SlotID) {
 	if f.State != Established || !f.waiting {
 		return
 	}
-	if f.Server != slot {
+	if f.Slot != slot {
 		f.fail(fmt.Sprintf("packet at %s reached %s", n.Now(), slot))
 		return
 	}
@@ -347,10 +347,10 @@
 	}
 }
 
-func (n *Net) refuse(p packet) {
+func (n *Network) refuse(p packet) {
 	n.Stats.Refused++
 	if p.flow.passed {
-		n.Stats.RefusedAfterPass++
+		n.Stats.RefusedAfterForward++
 	}
 	n.toCaller(func() {
 		if p.flow.State == Connecting {
@@ -360,7 +360,7 @@
 }
 
 // Count returns the number of flows in the state.
-func (n *Net) Count(state FlowState) int {
+func (n *Network) Count(state FlowState) int {
 	c := 0
 	for _, f := range n.Flows {
 		if f.State == state {
@@ -372,7 +372,7 @@
 
 // Stuck returns the established flows whose caller has waited for an answer for
 // longer than the age, although their backend server runs.
-func (n *Net) Stuck(age time.Duration) []*Flow {
+func (n *Network) Stuck(age time.Duration) []*Flow {
 	var list []*Flow
 	for _, f := range n.Flows {
 		if f.State == Established && f.waiting && time.Duration(n.now-f.asked) > age && n.serves(f) {
@@ -383,21 +383,21 @@
 }
 
 // serves reports whether the flow's server runs and still knows it.
-func (n *Net) serves(f *Flow) bool {
+func (n *Network) serves(f *Flow) bool {
 	for _, st := range n.slots {
-		if st.id == f.Server {
-			return !st.owner.Dead && st.owner.flows[f.Server.Index()][f]
+		if st.id == f.Slot {
+			return !st.owner.Dead && st.owner.flows[f.Slot.Index()][f]
 		}
 	}
 	return false
 }
 
 // Causes returns what broke up to max flows.
-func (n *Net) Causes(most int) []string {
+func (n *Network) Causes(most int) []string {
 	var list []string
 	for _, f := range n.Flows {
 		if f.State == Broken && len(list) < most {
-			list = append(list, fmt.Sprintf("%s on %s: %s", f.key.String(), f.Server, f.Cause))
+			list = append(list, fmt.Sprintf("%s on %s: %s", f.key.String(), f.Slot, f.Cause))
 		}
 	}
 	return list
--- a/fake/net.go
+++ b/fake/net.go
@@ -21,8 +21,8 @@
 
 // Policies. All but Chosen are baselines.
 const (
-	// Chosen prepares, opens and settles moves, gated by acknowledgements.
-	Chosen Policy = iota
+	// Phased prepares, opens and settles moves, gated by acknowledgements.
+	Phased Policy = iota
 	// HashOnly moves buckets at once and keeps no records.
 	HashOnly
 	// OneStep opens moves at once, without preparing them.
@@ -37,13 +37,13 @@
 	Copies int
 	// Loss is the share of packets that each hop loses.
 	Loss float64
-	// Spread is the largest additional delay of a configuration update.
-	Spread time.Duration
-	// Skew is the largest deviation of an instance's clock rate, as a share.
-	Skew float64
-	// Unguarded lets moves go on without waiting for acknowledgements, to show
+	// MaxUpdateDelay is the largest additional delay of a configuration update.
+	MaxUpdateDelay time.Duration
+	// MaxClockDrift is the largest deviation of an instance's clock rate, as a share.
+	MaxClockDrift float64
+	// AssumeAcks lets moves go on without waiting for acknowledgements, to show
 	// that the checks notice.
-	Unguarded bool
+	AssumeAcks bool
 }
 
 // Timing of the net.
@@ -61,8 +61,8 @@
 	callerDelay  = 2 * time.Millisecond
 )
 
-// Net is a running net.
-type Net struct {
+// Network is a running net.
+type Network struct {
 	cfg         Config
 	rng         *rand.Rand
 	now         int64
@@ -97,8 +97,8 @@
 	LateFlows int
 	// WrongService counts packets that reached another service's server.
 	WrongService int
-	// RefusedAfterPass counts refusals of flows that some instance passed on.
-	RefusedAfterPass int
+	// RefusedAfterForward counts refusals of flows that some instance passed on.
+	RefusedAfterForward int
 }
 
 type memberState struct {
@@ -137,8 +137,8 @@
 }
 
 // New returns a net without entries.
-func New(cfg Config) *Net {
-	n := &Net{
+func New(cfg Config) *Network {
+	n := &Network{
 		cfg:     cfg,
 		rng:     rand.New(rand.NewPCG(cfg.Seed, cfg.Seed^0x5deece66d)),
 		now:     start,
@@ -156,27 +156,27 @@
 }
 
 // Watch calls f with each change of the agreed state.
-func (n *Net) Watch(f func(cluster.Change)) {
+func (n *Network) Watch(f func(cluster.Change)) {
 	n.watch = f
 }
 
 // Now returns the simulated time since the start.
-func (n *Net) Now() time.Duration {
+func (n *Network) Now() time.Duration {
 	return time.Duration(n.now - start)
 }
 
-func (n *Net) after(d time.Duration, run func()) {
+func (n *Network) after(d time.Duration, run func()) {
 	n.seq++
 	heap.Push(&n.queue, event{at: n.now + int64(d), seq: n.seq, run: run})
 }
 
 // At runs f at the given time since the start.
-func (n *Net) At(at time.Duration, f func()) {
+func (n *Network) At(at time.Duration, f func()) {
 	n.after(max(0, at-n.Now()), f)
 }
 
 // Run advances the net to the given time since the start.
-func (n *Net) Run(until time.Duration) {
+func (n *Network) Run(until time.Duration) {
 	end := start + int64(until)
 	for len(n.queue) > 0 && n.queue[0].at <= end {
 		e := n.queue[0]
@@ -188,44 +188,44 @@
 }
 
 // lease returns the length of a lease.
-func (n *Net) lease() time.Duration {
-	if n.cfg.Unguarded {
+func (n *Network) lease() time.Duration {
+	if n.cfg.AssumeAcks {
 		return unguardedLease
 	}
 	return leaseTime
 }
 
 // jitter returns a delay around d, between half and one and a half of it.
-func (n *Net) jitter(d time.Duration) time.Duration {
+func (n *Network) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(n.rng.Int64N(int64(d)+1))
 }
 
-func (n *Net) lost() bool {
+func (n *Network) lost() bool {
 	return n.cfg.Loss > 0 && n.rng.Float64() < n.cfg.Loss
 }
 
 // reachable reports whether packets pass between two zones.
-func (n *Net) reachable(a, b catkinrail.Zone) bool {
+func (n *Network) reachable(a, b catkinrail.Zone) bool {
 	return a == b || (!n.cut[a] && !n.cut[b])
 }
 
-// CutZone cuts a zone off from the others and from control.
-func (n *Net) CutZone(z catkinrail.Zone) {
+// PartitionZone cuts a zone off from the others and from control.
+func (n *Network) PartitionZone(z catkinrail.Zone) {
 	n.cut[z] = true
 }
 
-// CutControl cuts all entries off from control, or ends that.
-func (n *Net) CutControl(on bool) {
+// PartitionControl cuts all entries off from control, or ends that.
+func (n *Network) PartitionControl(on bool) {
 	n.controlCut = on
 }
 
 // HealZone ends the cut of a zone.
-func (n *Net) HealZone(z catkinrail.Zone) {
+func (n *Network) HealZone(z catkinrail.Zone) {
 	delete(n.cut, z)
 }
 
 // Apply commits events to the agreed state.
-func (n *Net) Apply(events []cluster.Event) {
+func (n *Network) Apply(events []cluster.Event) {
 	if len(events) == 0 {
 		return
 	}
@@ -240,8 +240,8 @@
 }
 
 // rewrite turns prepared moves into what a baseline does.
-func (n *Net) rewrite(events []cluster.Event) []cluster.Event {
-	if n.cfg.Policy == Chosen {
+func (n *Network) rewrite(events []cluster.Event) []cluster.Event {
+	if n.cfg.Policy == Phased {
 		return events
 	}
 	var out []cluster.Event
@@ -266,13 +266,13 @@
 	return out
 }
 
-func (n *Net) planTick() {
+func (n *Network) planTick() {
 	n.after(tickInterval, n.planTick)
 	members := map[catkinrail.InstanceID]plan.InstanceStatus{}
 	for id, l := range n.leases {
 		m := l.member
 		m.Leased = n.now < l.until
-		if n.cfg.Unguarded {
+		if n.cfg.AssumeAcks {
 			m.Version, m.Synced = n.State.Version, n.State.Version
 		}
 		members[id] = m
@@ -281,8 +281,8 @@
 	n.Apply(n.planner.Next(n.State, time.Unix(0, n.now)))
 }
 
-// Must panics if an operator's command of a scenario fails.
-func (n *Net) Must(c *plan.Command) {
+// MustExecute panics if an operator's command of a scenario fails.
+func (n *Network) MustExecute(c *plan.Command) {
 	n.nextNum++
 	c.Request = time.Duration(n.nextNum).String()
 	events, _, err := plan.Evaluate(n.State, c)
