--- a/fake/disk.go
+++ b/fake/disk.go
@@ -11,7 +11,7 @@
 	"catkinrail.example/catkinrail"
 )
 
-// Errors that a Disk is told to return.
+// Faults to inject with Disk.FailAfter.
 var (
 	ErrCrashed = errors.New("machine crashed")
 	ErrFull    = errors.New("no space left on device")
@@ -20,16 +20,16 @@
 // blockSize is the unit, in bytes, in which unsynced data survives a crash.
 const blockSize = 64
 
-// Disk is a folder in memory that loses what was not synced when the machine
+// Disk is an in-memory directory that loses unsynced data when the machine
 // crashes. It implements catkinrail.Dir.
 type Disk struct {
 	files map[string]*diskFile
-	// durable holds the names as of the last Sync.
+	// durable holds the files that survive a crash: those of the last Sync.
 	durable map[string]*diskFile
-	// left is the number of operations before the next one fails; negative
+	// opsUntilFault is the number of operations before the next one fails; negative
 	// means never.
-	left  int
-	fault error
+	opsUntilFault int
+	fault         error
 }
 
 type diskFile struct {
@@ -37,22 +37,24 @@
 	synced int
 }
 
-// NewDisk returns an empty folder.
+// NewDisk returns an empty directory.
 func NewDisk() *Disk {
-	return &Disk{files: map[string]*diskFile{}, durable: map[string]*diskFile{}, left: -1}
+	return &Disk{files: map[string]*diskFile{}, durable: map[string]*diskFile{}, opsUntilFault: -1}
 }
 
-// FailAfter makes the operation after n further ones, and all later ones, fail.
+// FailAfter lets n more operations that change the disk succeed. All later ones
+// return fault, until Crash.
 func (d *Disk) FailAfter(n int, fault error) {
-	d.left, d.fault = n, fault
+	d.opsUntilFault, d.fault = n, fault
 }
 
-// Crash loses what was not synced: of each file an arbitrary part of the blocks
-// written last, and the names given since the last Sync. Operations work again.
+// Crash simulates a crash and restart of the machine. Each file loses random
+// parts of its unsynced data, and files created, renamed or removed since the
+// last Sync may revert. It also clears the fault that FailAfter set.
 func (d *Disk) Crash(rng *rand.Rand) {
-	d.left = -1
+	d.opsUntilFault = -1
 	for _, f := range d.files {
-		f.tear(rng)
+		f.loseUnsynced(rng)
 	}
 	// A rename or creation may have become durable without a Sync.
 	for _, name := range slices.Sorted(maps.Keys(d.files)) {
@@ -63,8 +65,9 @@
 	d.files = maps.Clone(d.durable)
 }
 
-// tear keeps an arbitrary part of the unsynced end, blocks missing in between.
-func (f *diskFile) tear(rng *rand.Rand) {
+// loseUnsynced cuts the unsynced data at a random offset and zeroes random blocks
+// of what is left.
+func (f *diskFile) loseUnsynced(rng *rand.Rand) {
 	end := f.synced + rng.IntN(len(f.data)-f.synced+1)
 	f.data = slices.Clone(f.data[:end])
 	for at := f.synced; at < end; at += blockSize {
@@ -85,12 +88,13 @@
 	return len(d.files[name].data)
 }
 
-func (d *Disk) step() error {
-	if d.left == 0 {
+// countOp counts an operation and returns the injected fault once it is due.
+func (d *Disk) countOp() error {
+	if d.opsUntilFault == 0 {
 		return d.fault
 	}
-	if d.left > 0 {
-		d.left--
+	if d.opsUntilFault > 0 {
+		d.opsUntilFault--
 	}
 	return nil
 }
@@ -111,7 +115,7 @@
 
 // Create implements catkinrail.Dir.
 func (d *Disk) Create(name string) (catkinrail.File, error) {
-	if err := d.step(); err != nil {
+	if err := d.countOp(); err != nil {
 		return nil, err
 	}
 	d.files[name] = &diskFile{}
@@ -129,7 +133,7 @@
 
 // Truncate implements catkinrail.Dir.
 func (d *Disk) Truncate(name string, size int64) error {
-	if err := d.step(); err != nil {
+	if err := d.countOp(); err != nil {
 		return err
 	}
 	f := d.files[name]
@@ -140,7 +144,7 @@
 
 // Rename implements catkinrail.Dir.
 func (d *Disk) Rename(from, to string) error {
-	if err := d.step(); err != nil {
+	if err := d.countOp(); err != nil {
 		return err
 	}
 	d.files[to] = d.files[from]
@@ -150,7 +154,7 @@
 
 // Remove implements catkinrail.Dir.
 func (d *Disk) Remove(name string) error {
-	if err := d.step(); err != nil {
+	if err := d.countOp(); err != nil {
 		return err
 	}
 	delete(d.files, name)
@@ -159,7 +163,7 @@
 
 // Sync implements catkinrail.Dir.
 func (d *Disk) Sync() error {
-	if err := d.step(); err != nil {
+	if err := d.countOp(); err != nil {
 		return err
 	}
 	d.durable = maps.Clone(d.files)
@@ -172,8 +176,8 @@
 }
 
 func (f *openFile) Write(b []byte) (int, error) {
-	if err := f.disk.step(); err != nil {
-		// A write that fails may have written a part.
+	if err := f.disk.countOp(); err != nil {
+		// A write that fails may have written part of the data.
 		n := len(b) / 2
 		f.file.data = append(f.file.data, b[:n]...)
 		return n, err
@@ -183,7 +187,7 @@
 }
 
 func (f *openFile) Sync() error {
-	if err := f.disk.step(); err != nil {
+	if err := f.disk.countOp(); err != nil {
 		return err
 	}
 	f.file.synced = len(f.file.data)
--- a/fake/entry.go
+++ b/fake/entry.go
@@ -13,11 +13,11 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-// controlOverhead is the size, in bytes, of an empty heartbeat and its answer
-// with the headers of TCP, IP and the call.
+// controlOverhead is the size, in bytes, of an empty heartbeat and its reply,
+// with the headers of TCP, IP and RPC.
 const controlOverhead = 2*60 + 64
 
-// Entry is an entry instance of the net.
+// Entry is a simulated entry instance.
 type Entry struct {
 	net    *Net
 	ID     catkinrail.InstanceID
@@ -25,14 +25,16 @@
 	Zone   catkinrail.Zone
 	Engine *route.Engine
 	Dead   bool
-	// frozen is the time until which the instance does nothing.
-	frozen int64
-	// isolated cuts the instance off from everything but the fabric.
+	// frozenUntil is when the instance resumes.
+	frozenUntil int64
+	// isolated is set while Isolate is in effect.
 	isolated bool
-	rate     float64
-	backlog  []func()
-	left     bool
-	leaving  bool
+	// rate is the speed of the instance's clock relative to simulated time.
+	rate float64
+	// backlog holds the work that is deferred while the instance is frozen.
+	backlog []func()
+	left    bool
+	leaving bool
 }
 
 // AddEntry starts an entry instance.
@@ -56,12 +58,12 @@
 	return e
 }
 
-// local returns the instance's own clock.
-func (e *Entry) local() int64 {
+// localTime returns the time in nanoseconds on the instance's clock.
+func (e *Entry) localTime() int64 {
 	return start + int64(float64(e.net.now-start)*e.rate)
 }
 
-// Kill stops the instance at once.
+// Kill stops the instance at once, without notice to control.
 func (e *Entry) Kill() {
 	e.Dead = true
 }
@@ -72,18 +74,18 @@
 	e.net.Apply(plan.Leave(e.net.State, e.ID))
 }
 
-// Left reports whether the instance has left the view and ended.
+// Left reports whether control removed the instance, which has then stopped.
 func (e *Entry) Left() bool {
 	return e.left
 }
 
-// Freeze stops the instance for d; packets wait meanwhile.
+// Freeze pauses the instance for d. Packets and messages are handled afterwards.
 func (e *Entry) Freeze(d time.Duration) {
-	e.frozen = e.net.now + int64(d)
-	e.net.after(d, e.thaw)
+	e.frozenUntil = e.net.now + int64(d)
+	e.net.after(d, e.resume)
 }
 
-func (e *Entry) thaw() {
+func (e *Entry) resume() {
 	list := e.backlog
 	e.backlog = nil
 	for _, f := range list {
@@ -91,17 +93,18 @@
 	}
 }
 
-// Isolate cuts the instance off from control, its peers and backend servers in
-// other zones; the fabric and its own zone's backend servers stay.
+// Isolate cuts the instance off from control, its peers and the backend servers of
+// other zones, or ends that. It still reaches the fabric and its zone's backend
+// servers.
 func (e *Entry) Isolate(on bool) {
 	e.isolated = on
 }
 
-// act runs f now, or once the instance is no longer frozen.
-func (e *Entry) act(f func()) {
+// runOrDefer runs f now, or once the instance is no longer frozen.
+func (e *Entry) runOrDefer(f func()) {
 	switch {
 	case e.Dead:
-	case e.net.now < e.frozen:
+	case e.net.now < e.frozenUntil:
 		e.backlog = append(e.backlog, f)
 	default:
 		f()
@@ -113,14 +116,15 @@
 		return
 	}
 	e.net.after(tickInterval, e.tick)
-	e.act(func() { e.sendAll(e.Engine.Tick(e.local())) })
+	e.runOrDefer(func() { e.sendAll(e.Engine.Tick(e.localTime())) })
 }
 
+// sendAll sends an engine's messages to its peers.
 func (e *Entry) sendAll(list []route.Outgoing) {
 	for _, s := range list {
 		e.net.Stats.ControlBytes += uint64(relay.Overhead + len(s.Payload) + 48)
 		e.transmit(s.To, func(to *Entry) {
-			answers, err := to.Engine.Receive(&s.Message, s.Payload, to.local())
+			answers, err := to.Engine.Receive(&s.Message, s.Payload, to.localTime())
 			if err == nil {
 				to.sendAll(answers)
 			}
@@ -128,37 +132,38 @@
 	}
 }
 
-// transmit delivers f to a peer after the network's delay.
+// transmit runs f at a peer after the network's delay, unless the message is lost.
 func (e *Entry) transmit(to catkinrail.InstanceID, f func(*Entry)) {
 	peer := e.net.byID[to]
-	if peer == nil || e.isolated || peer.isolated || !e.net.reachable(e.Zone, peer.Zone) || e.net.lost() {
+	if peer == nil || e.isolated || peer.isolated || !e.net.reachable(e.Zone, peer.Zone) || e.net.losePacket() {
 		return
 	}
 	e.net.after(e.net.jitter(zoneDelay), func() {
-		peer.act(func() { f(peer) })
+		peer.runOrDefer(func() { f(peer) })
 	})
 }
 
-// heartbeat fetches changes and renews the lease.
+// heartbeat sends a heartbeat, which fetches changes and renews the lease.
 func (e *Entry) heartbeat() {
 	if e.Dead || e.left {
 		return
 	}
 	n := e.net
 	n.after(n.jitter(heartbeatInterval), e.heartbeat)
-	if n.now < e.frozen || e.isolated || n.cut[e.Zone] || n.controlCut {
+	if n.now < e.frozenUntil || e.isolated || n.partitioned[e.Zone] || n.controlPartitioned {
 		return
 	}
-	sent := e.local()
-	have := e.Engine.Version()
-	report := plan.InstanceStatus{Version: have, Synced: e.Engine.Synced(), Busy: e.Engine.Busy(e.local())}
+	sent := e.localTime()
+	version := e.Engine.Version()
+	report := plan.InstanceStatus{Version: version, Synced: e.Engine.Synced(), Busy: e.Engine.Busy(e.localTime())}
 	exceptions := e.Engine.Exceptions()
 	n.after(n.jitter(zoneDelay), func() { n.answerHeartbeat(e, sent, report, exceptions) })
 }
 
+// answerHeartbeat handles a heartbeat as the control leader does.
 func (n *Net) answerHeartbeat(e *Entry, sent int64, report plan.InstanceStatus, exceptions map[catkinrail.ServiceID][]uint32) {
 	if n.State.Instances[e.ID] == nil {
-		e.expelled()
+		e.handleRemoval()
 		return
 	}
 	if e.leaving && e.Engine.Released() {
@@ -167,31 +172,33 @@
 	for _, id := range cluster.SortedKeys(exceptions) {
 		n.Apply(plan.PrepareExceptions(n.State, id, exceptions[id]))
 	}
-	changes := n.log[report.Version:]
-	n.Stats.ControlBytes += controlOverhead + uint64(n.size(changes)) + uint64(16*len(report.Busy))
-	n.leases[e.ID] = &memberState{until: n.now + int64(n.lease()+leaseMargin), member: report}
+	changes := n.changes[report.Version:]
+	n.Stats.ControlBytes += controlOverhead + uint64(n.encodedSize(changes)) + uint64(16*len(report.Busy))
+	n.leases[e.ID] = &leaseState{expiresAt: n.now + int64(n.leaseDuration()+leaseMargin), status: report}
 	delay := n.jitter(zoneDelay)
 	if len(changes) > 0 && n.cfg.Spread > 0 {
 		delay += time.Duration(n.rng.Int64N(int64(n.cfg.Spread)))
 	}
 	n.after(delay, func() {
-		if n.cut[e.Zone] || e.isolated {
+		if n.partitioned[e.Zone] || e.isolated {
 			return
 		}
-		e.act(func() { e.receive(sent, changes) })
+		e.runOrDefer(func() { e.applyHeartbeatReply(sent, changes) })
 	})
 }
 
-func (e *Entry) receive(sent int64, changes []cluster.Change) {
-	if err := e.Engine.Update(changes, e.local()); err != nil {
+// applyHeartbeatReply applies the changes and renews the lease, which counts from
+// when the heartbeat was sent.
+func (e *Entry) applyHeartbeatReply(sent int64, changes []cluster.Change) {
+	if err := e.Engine.Update(changes, e.localTime()); err != nil {
 		panic(fmt.Sprintf("entry %s: %v", e.Name, err))
 	}
-	e.Engine.SetLease(sent + int64(e.net.lease()))
+	e.Engine.SetLease(sent + int64(e.net.leaseDuration()))
 }
 
-// expelled ends an instance that has left. One that was removed while it was
-// away starts again as a new incarnation.
-func (e *Entry) expelled() {
+// handleRemoval stops an instance that control has removed. If it wasn't leaving,
+// it starts again as a new incarnation.
+func (e *Entry) handleRemoval() {
 	e.left = true
 	e.Dead = true
 	if !e.leaving {
@@ -199,7 +206,8 @@
 	}
 }
 
-func (n *Net) size(changes []cluster.Change) int {
+// encodedSize returns the encoded size of the changes in bytes.
+func (n *Net) encodedSize(changes []cluster.Change) int {
 	total := 0
 	for i := range changes {
 		b, err := cluster.Encode(changes[i])
@@ -211,14 +219,15 @@
 	return total
 }
 
-// packet handles a packet from the fabric.
-func (e *Entry) packet(p packet) {
-	e.act(func() {
+// handlePacket handles a packet from the fabric.
+func (e *Entry) handlePacket(p packet) {
+	e.runOrDefer(func() {
 		h := ip.Header{Key: p.flow.key, Flags: p.flags}
-		e.carryOut(e.Engine.HandlePacket(&h, e.local()), p)
+		e.carryOut(e.Engine.HandlePacket(&h, e.localTime()), p)
 	})
 }
 
+// carryOut does what the engine decided about a packet.
 func (e *Entry) carryOut(v route.Verdict, p packet) {
 	n := e.net
 	switch v.Action {
@@ -228,7 +237,7 @@
 		n.refuse(p)
 	case route.Forward:
 		n.Stats.Forwarded++
-		n.toSlot(e, v.Addr, v.Service, p)
+		n.deliverToSlot(e, v.Addr, v.Service, p)
 	case route.Relay:
 		n.Stats.Relayed++
 		to := n.byAddr[v.Addr]
@@ -237,7 +246,7 @@
 		}
 		e.transmit(to.ID, func(to *Entry) {
 			h := ip.Header{Key: p.flow.key, Flags: p.flags}
-			to.carryOut(to.Engine.HandleRelayed(&v.Message, &h, to.local()), p)
+			to.carryOut(to.Engine.HandleRelayed(&v.Message, &h, to.localTime()), p)
 		})
 	}
 }
--- a/fake/flow.go
+++ b/fake/flow.go
@@ -11,78 +11,87 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-// Callers' retransmission (RFC 6298).
+// Retransmission by callers; the initial timeout and its doubling follow RFC 6298.
 const (
-	firstRTO = time.Second
-	maxTries = 8
+	firstRTO    = time.Second
+	maxAttempts = 8
 )
 
-// FlowState is what a caller knows of its flow.
+// FlowState is the state of a flow as its caller sees it.
 type FlowState uint8
 
 // States of a flow.
 const (
+	// Connecting: the opening packet has not been answered.
 	Connecting FlowState = iota
+	// Established: a backend server answered the opening packet.
 	Established
+	// Broken: a packet reached a backend server that doesn't know the flow, or
+	// another slot answered.
 	Broken
+	// Refused: an entry instance refused the flow.
 	Refused
+	// Failed: no opening packet was answered.
 	Failed
+	// Closed: the caller ended the flow.
 	Closed
 )
 
-// Flow is a caller's flow.
+// Flow is a flow that a simulated caller opened.
 type Flow struct {
 	Service catkinrail.ServiceID
 	State   FlowState
-	// Server is the slot that answered first.
+	// Server is the slot that answered the opening packet.
 	Server catkinrail.SlotID
-	// Opened is the time, since the start, at which the flow was established.
+	// Opened is when the flow was established, since the start of the run.
 	Opened time.Duration
 	// Cause says what broke the flow.
-	Cause string
-	key   catkinrail.FlowKey
-	every time.Duration
-	end   int64
-	tries int
-	// acked counts the caller's packets that were answered.
+	Cause    string
+	key      catkinrail.FlowKey
+	interval time.Duration
+	end      int64
+	attempts int
+	// Acked counts the caller's packets that were answered.
 	Acked int
-	// passed is set once an instance passed the opening packet on.
-	passed  bool
-	waiting bool
-	// asked is the time since which the caller waits for an answer.
-	asked int64
-	zone  catkinrail.Zone
+	// forwarded is set once an instance has forwarded a packet of the flow.
+	forwarded bool
+	pending   bool
+	// waitingSince is when the caller sent the pending packet first.
+	waitingSince int64
+	// zone is where the caller is; empty means outside all zones.
+	zone catkinrail.Zone
 }
 
+// packet is a packet from a caller.
 type packet struct {
 	flow  *Flow
 	flags uint8
 }
 
-// slotState is a slot of a stand-in backend server.
+// slotState is a slot of a simulated backend server.
 type slotState struct {
 	id    catkinrail.SlotID
 	owner *Server
 }
 
-// Server is a stand-in backend server.
+// Server is a simulated backend server.
 type Server struct {
 	net     *Net
 	Name    string
 	service string
-	// serviceID is the identifier that the name stood for at the start.
-	serviceID catkinrail.ServiceID
-	Zone      catkinrail.Zone
-	slots     []netip.AddrPort
-	id        catkinrail.BackendID
-	flows     []map[*Flow]bool
-	Dead      bool
-	incarn    uint64
-	// leaving is the time of the drain, or zero.
-	leaving int64
-}
-
-// AddServer starts a backend server, which announces itself.
+	// serviceID is the service's identifier when the incarnation started.
+	serviceID   catkinrail.ServiceID
+	Zone        catkinrail.Zone
+	slots       []netip.AddrPort
+	id          catkinrail.BackendID
+	flows       []map[*Flow]bool
+	Dead        bool
+	incarnation uint64
+	// drainingSince is when the drain began; zero if the server isn't draining.
+	drainingSince int64
+}
+
+// AddServer starts a backend server and announces it to control.
 func (n *Net) AddServer(service, name string, zone catkinrail.Zone, slots int) *Server {
 	s := &Server{net: n, Name: name, service: service, Zone: zone}
 	for range slots {
@@ -94,11 +103,11 @@
 	return s
 }
 
-// Restart makes the server a new incarnation that has lost its flows.
+// Restart starts a new incarnation of the server, which has no flows.
 func (s *Server) Restart() {
 	n := s.net
 	n.incarnation++
-	s.incarn = n.incarnation
+	s.incarnation = n.incarnation
 	s.flows = make([]map[*Flow]bool, len(s.slots))
 	s.Dead = false
 	s.Announce(false)
@@ -111,10 +120,10 @@
 	}
 }
 
-// Announce tells control about the server.
+// Announce sends the server's announcement to control.
 func (s *Server) Announce(draining bool) {
 	events, err := plan.Announce(s.net.State, &plan.Announcement{
-		Service: s.service, Name: s.Name, Zone: s.Zone, Slots: s.slots, Incarnation: s.incarn, Draining: draining,
+		Service: s.service, Name: s.Name, Zone: s.Zone, Slots: s.slots, Incarnation: s.incarnation, Draining: draining,
 	})
 	if err != nil {
 		panic(err)
@@ -122,25 +131,25 @@
 	s.net.Apply(events)
 }
 
-// Drain asks control, as an operator would, to give the server no new flows.
+// Drain sends the operator's command to drain the server.
 func (s *Server) Drain() {
-	s.leaving = s.net.now
+	s.drainingSince = s.net.now
 	s.net.Must(&plan.Command{Drain: &plan.BackendRef{Service: s.service, Name: s.Name}})
 }
 
-// Readmit ends the draining.
+// Readmit sends the operator's command to readmit the server.
 func (s *Server) Readmit() {
-	s.leaving = 0
+	s.drainingSince = 0
 	s.net.Must(&plan.Command{Readmit: &plan.BackendRef{Service: s.service, Name: s.Name}})
 }
 
-// Kill stops the server; control hears of it.
+// Kill stops the server. Control expires it at once.
 func (s *Server) Kill() {
 	s.Dead = true
 	s.net.Apply(plan.Expire(s.net.State, []catkinrail.BackendID{s.id}))
 }
 
-// Flows returns the number of established flows on each slot.
+// Flows returns the number of established flows by slot.
 func (s *Server) Flows() []int {
 	out := make([]int, len(s.flows))
 	for i, m := range s.flows {
@@ -158,13 +167,15 @@
 	n.Must(&plan.Command{Create: &cfg})
 }
 
-// Open starts a flow to the service that sends a packet in every period until
-// it ends after life, or never if life is zero.
-func (n *Net) Open(service string, every, life time.Duration) *Flow {
+// Open opens a flow to the service. Once it is established, the caller sends a
+// packet, and the next one about an interval after each answer; if interval is
+// zero, it sends no more. It closes the flow with the first packet that is due
+// after duration, or never if duration is zero.
+func (n *Net) Open(service string, interval, duration time.Duration) *Flow {
 	svc := n.State.ServiceByName(service)
-	f := &Flow{Service: svc.ID, every: every}
-	if life > 0 {
-		f.end = n.now + int64(life)
+	f := &Flow{Service: svc.ID, interval: interval}
+	if duration > 0 {
+		f.end = n.now + int64(duration)
 	}
 	num := len(n.Flows)
 	caller := netip.AddrFrom4([4]byte{10, byte(num >> 24), byte(num >> 16), byte(num >> 8)})
@@ -177,32 +188,33 @@
 	return f
 }
 
-// OpenMany starts count flows, evenly over a time.
-func (n *Net) OpenMany(service string, count int, over, every, life time.Duration) {
+// OpenMany opens count flows, evenly spread over a time.
+func (n *Net) OpenMany(service string, count int, over, interval, duration time.Duration) {
 	for i := range count {
-		n.after(over*time.Duration(i)/time.Duration(count), func() { n.Open(service, every, life) })
+		n.after(over*time.Duration(i)/time.Duration(count), func() { n.Open(service, interval, duration) })
 	}
 }
 
+// sendOpening sends the opening packet and retries it until it is answered.
 func (n *Net) sendOpening(f *Flow) {
 	if f.State != Connecting {
 		return
 	}
-	if f.tries == maxTries {
+	if f.attempts == maxAttempts {
 		f.State = Failed
 		return
 	}
-	rto := firstRTO << f.tries
-	f.tries++
+	rto := firstRTO << f.attempts
+	f.attempts++
 	n.after(rto, func() { n.sendOpening(f) })
 	flags := ip.FlagSYN
 	if f.key.Proto == catkinrail.ProtoUDP {
 		flags = 0
 	}
-	n.spray(packet{flow: f, flags: flags})
+	n.sendToFabric(packet{flow: f, flags: flags})
 }
 
-// sendData sends a packet and repeats it until it is answered.
+// sendData sends a packet and retries it until it is answered.
 func (n *Net) sendData(f *Flow) {
 	if f.State != Established {
 		return
@@ -210,67 +222,70 @@
 	if f.end != 0 && n.now >= f.end {
 		f.State = Closed
 		if f.key.Proto == catkinrail.ProtoTCP {
-			n.spray(packet{flow: f, flags: ip.FlagFIN | ip.FlagACK})
+			n.sendToFabric(packet{flow: f, flags: ip.FlagFIN | ip.FlagACK})
 		}
 		return
 	}
-	if !f.waiting {
-		f.waiting = true
-		f.asked = n.now
+	if !f.pending {
+		f.pending = true
+		f.waitingSince = n.now
 	}
-	n.spray(packet{flow: f, flags: ip.FlagACK})
+	n.sendToFabric(packet{flow: f, flags: ip.FlagACK})
 	acked := f.Acked
 	n.after(firstRTO, func() {
-		if f.waiting && f.Acked == acked {
+		if f.pending && f.Acked == acked {
 			n.sendData(f)
 		}
 	})
 }
 
-// spray hands a packet to any live entry, as the fabric does. A caller in a
-// zone that is cut off reaches the entries of that zone only.
-func (n *Net) spray(p packet) {
+// sendToFabric delivers a packet to a random live entry instance, as the fabric
+// does. A caller in a partitioned zone reaches the instances of that zone only.
+func (n *Net) sendToFabric(p packet) {
 	n.Stats.Packets++
 	var live []*Entry
 	for _, e := range n.Entries {
-		if !e.Dead && n.fabricReaches(p.flow, e) {
+		if !e.Dead && n.fabricCanReach(p.flow, e) {
 			live = append(live, e)
 		}
 	}
-	if len(live) == 0 || n.lost() {
+	if len(live) == 0 || n.losePacket() {
 		return
 	}
 	e := live[n.rng.IntN(len(live))]
-	n.after(n.jitter(callerDelay), func() { e.packet(p) })
+	n.after(n.jitter(callerDelay), func() { e.handlePacket(p) })
 }
 
-func (n *Net) fabricReaches(f *Flow, e *Entry) bool {
+// fabricCanReach reports whether the fabric may deliver the flow's packets to e.
+func (n *Net) fabricCanReach(f *Flow, e *Entry) bool {
 	if f.zone == "" {
-		return !n.cut[e.Zone]
+		return !n.partitioned[e.Zone]
 	}
 	return n.reachable(f.zone, e.Zone)
 }
 
-// Pin makes the flow's packets enter through a zone that may be cut off.
+// Pin places the caller in a zone: while it is partitioned, the flow's packets
+// enter through its instances only.
 func (f *Flow) Pin(z catkinrail.Zone) *Flow {
 	f.zone = z
 	return f
 }
 
-// toSlot delivers a packet from an entry to a backend server.
-func (n *Net) toSlot(from *Entry, addr netip.AddrPort, service catkinrail.ServiceID, p packet) {
+// deliverToSlot delivers a packet from an entry instance to a backend server.
+func (n *Net) deliverToSlot(from *Entry, addr netip.AddrPort, service catkinrail.ServiceID, p packet) {
 	st := n.slots[addr]
 	if st == nil {
 		return
 	}
-	cutOff := !n.reachable(from.Zone, st.owner.Zone) || (from.isolated && from.Zone != st.owner.Zone)
-	if cutOff || n.lost() {
+	unreachable := !n.reachable(from.Zone, st.owner.Zone) || (from.isolated && from.Zone != st.owner.Zone)
+	if unreachable || n.losePacket() {
 		return
 	}
-	p.flow.passed = true
+	p.flow.forwarded = true
 	n.after(n.jitter(zoneDelay), func() { st.receive(p, service) })
 }
 
+// receive handles a packet that an entry instance forwarded for the service.
 func (st *slotState) receive(p packet, service catkinrail.ServiceID) {
 	s, n, f := st.owner, st.owner.net, p.flow
 	if s.Dead {
@@ -286,32 +301,36 @@
 	case opening:
 		s.accept(st, f, known)
 	case !known:
-		n.toCaller(func() { f.fail(fmt.Sprintf("packet at %s reached %s", n.Now(), st.id)) })
+		n.deliverToCaller(func() { f.fail(fmt.Sprintf("packet at %s reached %s", n.Now(), st.id)) })
 	default:
-		n.toCaller(func() { n.acked(f, st.id) })
+		n.deliverToCaller(func() { n.handleAck(f, st.id) })
 	}
 }
 
-const lateBound = 5 * time.Second
+// drainGracePeriod is how long a draining backend server may still get new flows.
+const drainGracePeriod = 5 * time.Second
 
+// accept records the flow and answers its opening packet.
 func (s *Server) accept(st *slotState, f *Flow, known bool) {
 	n := s.net
-	if !known && s.leaving != 0 && time.Duration(n.now-s.leaving) > lateBound {
+	if !known && s.drainingSince != 0 && time.Duration(n.now-s.drainingSince) > drainGracePeriod {
 		n.Stats.LateFlows++
 	}
 	s.flows[st.id.Index()][f] = true
-	n.toCaller(func() { n.opened(f, st.id) })
+	n.deliverToCaller(func() { n.handleOpened(f, st.id) })
 }
 
-// toCaller delivers an answer, which goes from the server to the caller directly.
-func (n *Net) toCaller(run func()) {
-	if n.lost() {
+// deliverToCaller delivers an answer, which bypasses the entry instances.
+func (n *Net) deliverToCaller(run func()) {
+	if n.losePacket() {
 		return
 	}
 	n.after(n.jitter(callerDelay), run)
 }
 
-func (n *Net) opened(f *Flow, slot catkinrail.SlotID) {
+// handleOpened handles the answer of a slot to an opening packet. With UDP, every
+// packet that starts a flow at its slot is one.
+func (n *Net) handleOpened(f *Flow, slot catkinrail.SlotID) {
 	switch {
 	case f.State == Connecting:
 		f.State = Established
@@ -321,22 +340,23 @@
 	case f.State == Established && f.key.Proto == catkinrail.ProtoUDP && f.Server != slot:
 		f.fail(fmt.Sprintf("datagram at %s reached %s", n.Now(), slot))
 	case f.State == Established && f.key.Proto == catkinrail.ProtoUDP:
-		n.acked(f, slot)
+		n.handleAck(f, slot)
 	}
 }
 
-func (n *Net) acked(f *Flow, slot catkinrail.SlotID) {
-	if f.State != Established || !f.waiting {
+// handleAck handles the answer of a slot to a later packet.
+func (n *Net) handleAck(f *Flow, slot catkinrail.SlotID) {
+	if f.State != Established || !f.pending {
 		return
 	}
 	if f.Server != slot {
 		f.fail(fmt.Sprintf("packet at %s reached %s", n.Now(), slot))
 		return
 	}
-	f.waiting = false
+	f.pending = false
 	f.Acked++
-	if f.every > 0 {
-		n.after(n.jitter(f.every), func() { n.sendData(f) })
+	if f.interval > 0 {
+		n.after(n.jitter(f.interval), func() { n.sendData(f) })
 	}
 }
 
@@ -347,12 +367,13 @@
 	}
 }
 
+// refuse handles the refusal of a packet by an entry instance.
 func (n *Net) refuse(p packet) {
 	n.Stats.Refused++
-	if p.flow.passed {
+	if p.flow.forwarded {
 		n.Stats.RefusedAfterPass++
 	}
-	n.toCaller(func() {
+	n.deliverToCaller(func() {
 		if p.flow.State == Connecting {
 			p.flow.State = Refused
 		}
@@ -370,20 +391,20 @@
 	return c
 }
 
-// Stuck returns the established flows whose caller has waited for an answer for
-// longer than the age, although their backend server runs.
+// Stuck returns the established flows whose caller has waited longer than age for
+// an answer although their backend server still runs and knows them.
 func (n *Net) Stuck(age time.Duration) []*Flow {
 	var list []*Flow
 	for _, f := range n.Flows {
-		if f.State == Established && f.waiting && time.Duration(n.now-f.asked) > age && n.serves(f) {
+		if f.State == Established && f.pending && time.Duration(n.now-f.waitingSince) > age && n.hasLiveServer(f) {
 			list = append(list, f)
 		}
 	}
 	return list
 }
 
-// serves reports whether the flow's server runs and still knows it.
-func (n *Net) serves(f *Flow) bool {
+// hasLiveServer reports whether the flow's backend server runs and still knows it.
+func (n *Net) hasLiveServer(f *Flow) bool {
 	for _, st := range n.slots {
 		if st.id == f.Server {
 			return !st.owner.Dead && st.owner.flows[f.Server.Index()][f]
@@ -392,18 +413,18 @@
 	return false
 }
 
-// Causes returns what broke up to max flows.
-func (n *Net) Causes(most int) []string {
+// Causes describes up to limit broken flows and what broke them.
+func (n *Net) Causes(limit int) []string {
 	var list []string
 	for _, f := range n.Flows {
-		if f.State == Broken && len(list) < most {
+		if f.State == Broken && len(list) < limit {
 			list = append(list, fmt.Sprintf("%s on %s: %s", f.key.String(), f.Server, f.Cause))
 		}
 	}
 	return list
 }
 
-// ViewSettled reports whether no change of view is under way.
+// ViewSettled reports whether no change of view is in progress.
 func ViewSettled(s *cluster.State) bool {
 	return s.View.Phase == catkinrail.Settled
 }
--- a/fake/net.go
+++ b/fake/net.go
@@ -1,7 +1,7 @@
-// Package fake connects entry instances, a control leader, callers and backend
-// servers in one process, over a network with delay, loss, reordering and cuts.
-// Time is simulated and every choice comes from one seed, so that a run can be
-// repeated exactly.
+// Package fake simulates entry instances, a control leader, callers and backend
+// servers in one process, connected by a network with delay, loss, reordering and
+// partitions. Time is simulated and all randomness comes from one seed, so that a
+// run can be repeated exactly. Disk is a fake disk for tests of durable state.
 package fake
 
 import (
@@ -16,10 +16,10 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-// Policy selects how the net carries out changes.
+// Policy selects how moves of buckets are carried out.
 type Policy uint8
 
-// Policies. All but Chosen are baselines.
+// Policies. Services use Chosen; the others are baselines to compare it with.
 const (
 	// Chosen prepares, opens and settles moves, gated by acknowledgements.
 	Chosen Policy = iota
@@ -29,89 +29,94 @@
 	OneStep
 )
 
-// Config describes a net.
+// Config describes a simulated network.
 type Config struct {
 	Seed   uint64
 	Policy Policy
 	// Copies is the number of instances that hold a record.
 	Copies int
-	// Loss is the share of packets that each hop loses.
+	// Loss is the share of packets that each hop loses, 0 to 1.
 	Loss float64
-	// Spread is the largest additional delay of a configuration update.
+	// Spread is the maximum additional delay of a configuration update.
 	Spread time.Duration
-	// Skew is the largest deviation of an instance's clock rate, as a share.
+	// Skew is the maximum deviation of an instance's clock rate, as a share.
 	Skew float64
-	// Unguarded lets moves go on without waiting for acknowledgements, to show
-	// that the checks notice.
+	// Unguarded treats every instance as up to date, so that moves don't wait for
+	// acknowledgements. Tests use it to prove that their checks detect this.
 	Unguarded bool
 }
 
-// Timing of the net.
+// Timing of the simulation.
 const (
 	start             = int64(1_000 * time.Second)
 	heartbeatInterval = 250 * time.Millisecond
 	leaseTime         = 1500 * time.Millisecond
-	// unguardedLease outlasts the delay of updates, so that the lease doesn't
-	// stand in for the acknowledgements that are left out.
-	unguardedLease = 10 * time.Second
-	// leaseMargin covers the deviation of clock rates.
+	// assumedAcksLease is longer than the delay of updates: otherwise expired
+	// leases would protect flows in place of the skipped acknowledgements.
+	assumedAcksLease = 10 * time.Second
+	// leaseMargin allows for the deviation of clock rates.
 	leaseMargin  = 100 * time.Millisecond
 	tickInterval = 50 * time.Millisecond
 	zoneDelay    = time.Millisecond
 	callerDelay  = 2 * time.Millisecond
 )
 
-// Net is a running net.
+// Net is a simulated network and the instances, callers and backend servers on it.
+// It is not safe for concurrent use.
 type Net struct {
-	cfg         Config
-	rng         *rand.Rand
-	now         int64
-	seq         uint64
-	queue       queue
-	Entries     []*Entry
-	slots       map[netip.AddrPort]*slotState
-	byID        map[catkinrail.InstanceID]*Entry
-	byAddr      map[netip.AddrPort]*Entry
-	State       *cluster.State
-	planner     *plan.Planner
-	log         []cluster.Change
-	leases      map[catkinrail.InstanceID]*memberState
-	cut         map[catkinrail.Zone]bool
-	Flows       []*Flow
-	Stats       Stats
-	nextNum     int
-	incarnation uint64
-	controlCut  bool
-	// watch is called after each change of the agreed state.
-	watch func(cluster.Change)
+	cfg                Config
+	rng                *rand.Rand
+	now                int64
+	seq                uint64
+	queue              queue
+	Entries            []*Entry
+	slots              map[netip.AddrPort]*slotState
+	byID               map[catkinrail.InstanceID]*Entry
+	byAddr             map[netip.AddrPort]*Entry
+	State              *cluster.State
+	planner            *plan.Planner
+	changes            []cluster.Change
+	leases             map[catkinrail.InstanceID]*leaseState
+	partitioned        map[catkinrail.Zone]bool
+	Flows              []*Flow
+	Stats              Stats
+	nextNum            int
+	incarnation        uint64
+	controlPartitioned bool
+	// onChange is called after each committed change, if set.
+	onChange func(cluster.Change)
 }
 
-// Stats counts what happened.
+// Stats counts packets, bytes and violations in a run.
 type Stats struct {
 	Packets, Relayed, Forwarded uint64
 	Dropped                     map[route.Reason]uint64
 	Refused                     uint64
 	ControlBytes                uint64
-	// LateFlows counts new flows that reached a leaving backend server after
-	// its bound.
+	// LateFlows counts new flows that a backend server accepted more than
+	// drainGracePeriod after its drain began.
 	LateFlows int
-	// WrongService counts packets that reached another service's server.
+	// WrongService counts packets that reached a backend server of another service.
 	WrongService int
-	// RefusedAfterPass counts refusals of flows that some instance passed on.
+	// RefusedAfterPass counts refusals of flows of which an instance had already
+	// forwarded a packet.
 	RefusedAfterPass int
 }
 
-type memberState struct {
-	until  int64
-	member plan.InstanceStatus
+// leaseState is an instance's lease and the status in its last heartbeat.
+type leaseState struct {
+	expiresAt int64
+	status    plan.InstanceStatus
 }
 
+// event is a function that runs at a simulated time.
 type event struct {
 	at  int64
 	seq uint64
 	run func()
 }
 
+// queue is a heap of events, ordered by time and then by creation.
 type queue []event
 
 func (q queue) Len() int { return len(q) }
@@ -136,35 +141,36 @@
 	return e
 }
 
-// New returns a net without entries.
+// New returns a network without instances.
 func New(cfg Config) *Net {
 	n := &Net{
-		cfg:     cfg,
-		rng:     rand.New(rand.NewPCG(cfg.Seed, cfg.Seed^0x5deece66d)),
-		now:     start,
-		slots:   map[netip.AddrPort]*slotState{},
-		byID:    map[catkinrail.InstanceID]*Entry{},
-		byAddr:  map[netip.AddrPort]*Entry{},
-		State:   cluster.New(),
-		planner: plan.NewPlanner(),
-		leases:  map[catkinrail.InstanceID]*memberState{},
-		cut:     map[catkinrail.Zone]bool{},
+		cfg:         cfg,
+		rng:         rand.New(rand.NewPCG(cfg.Seed, cfg.Seed^0x5deece66d)),
+		now:         start,
+		slots:       map[netip.AddrPort]*slotState{},
+		byID:        map[catkinrail.InstanceID]*Entry{},
+		byAddr:      map[netip.AddrPort]*Entry{},
+		State:       cluster.New(),
+		planner:     plan.NewPlanner(),
+		leases:      map[catkinrail.InstanceID]*leaseState{},
+		partitioned: map[catkinrail.Zone]bool{},
 	}
 	n.Stats.Dropped = map[route.Reason]uint64{}
 	n.after(tickInterval, n.planTick)
 	return n
 }
 
-// Watch calls f with each change of the agreed state.
+// Watch calls f after each committed change. It replaces any earlier function.
 func (n *Net) Watch(f func(cluster.Change)) {
-	n.watch = f
+	n.onChange = f
 }
 
-// Now returns the simulated time since the start.
+// Now returns the simulated time since the start of the run.
 func (n *Net) Now() time.Duration {
 	return time.Duration(n.now - start)
 }
 
+// after runs a function after a simulated delay.
 func (n *Net) after(d time.Duration, run func()) {
 	n.seq++
 	heap.Push(&n.queue, event{at: n.now + int64(d), seq: n.seq, run: run})
@@ -175,7 +181,7 @@
 	n.after(max(0, at-n.Now()), f)
 }
 
-// Run advances the net to the given time since the start.
+// Run advances the simulation to the given time since the start.
 func (n *Net) Run(until time.Duration) {
 	end := start + int64(until)
 	for len(n.queue) > 0 && n.queue[0].at <= end {
@@ -187,60 +193,62 @@
 	n.now = end
 }
 
-// lease returns the length of a lease.
-func (n *Net) lease() time.Duration {
+// leaseDuration returns how long an instance's lease lasts.
+func (n *Net) leaseDuration() time.Duration {
 	if n.cfg.Unguarded {
-		return unguardedLease
+		return assumedAcksLease
 	}
 	return leaseTime
 }
 
-// jitter returns a delay around d, between half and one and a half of it.
+// jitter returns a random delay between 0.5 d and 1.5 d.
 func (n *Net) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(n.rng.Int64N(int64(d)+1))
 }
 
-func (n *Net) lost() bool {
+// losePacket decides at random whether a packet is lost.
+func (n *Net) losePacket() bool {
 	return n.cfg.Loss > 0 && n.rng.Float64() < n.cfg.Loss
 }
 
-// reachable reports whether packets pass between two zones.
+// reachable reports whether the network connects two zones.
 func (n *Net) reachable(a, b catkinrail.Zone) bool {
-	return a == b || (!n.cut[a] && !n.cut[b])
+	return a == b || (!n.partitioned[a] && !n.partitioned[b])
 }
 
-// CutZone cuts a zone off from the others and from control.
+// CutZone partitions a zone from the others and from control.
 func (n *Net) CutZone(z catkinrail.Zone) {
-	n.cut[z] = true
+	n.partitioned[z] = true
 }
 
-// CutControl cuts all entries off from control, or ends that.
+// CutControl partitions all entry instances from control, or ends the partition.
 func (n *Net) CutControl(on bool) {
-	n.controlCut = on
+	n.controlPartitioned = on
 }
 
-// HealZone ends the cut of a zone.
+// HealZone ends the partition of a zone.
 func (n *Net) HealZone(z catkinrail.Zone) {
-	delete(n.cut, z)
+	delete(n.partitioned, z)
 }
 
-// Apply commits events to the agreed state.
+// Apply commits events to the cluster state. It panics if they can't be applied.
 func (n *Net) Apply(events []cluster.Event) {
 	if len(events) == 0 {
 		return
 	}
-	c := cluster.Change{Version: n.State.Version + 1, Events: n.rewrite(events)}
+	c := cluster.Change{Version: n.State.Version + 1, Events: n.applyPolicy(events)}
 	if err := n.State.Apply(c); err != nil {
 		panic(err)
 	}
-	n.log = append(n.log, c)
-	if n.watch != nil {
-		n.watch(c)
+	n.changes = append(n.changes, c)
+	if n.onChange != nil {
+		n.onChange(c)
 	}
 }
 
-// rewrite turns prepared moves into what a baseline does.
-func (n *Net) rewrite(events []cluster.Event) []cluster.Event {
+// applyPolicy rewrites the events that prepare moves to what the policy does
+// instead.
+func (n *Net) applyPolicy(events []cluster.Event) []cluster.Event {
 	if n.cfg.Policy == Chosen {
 		return events
 	}
@@ -266,12 +274,13 @@
 	return out
 }
 
+// planTick commits the next planned events, as the control leader does.
 func (n *Net) planTick() {
 	n.after(tickInterval, n.planTick)
 	members := map[catkinrail.InstanceID]plan.InstanceStatus{}
 	for id, l := range n.leases {
-		m := l.member
-		m.Leased = n.now < l.until
+		m := l.status
+		m.Leased = n.now < l.expiresAt
 		if n.cfg.Unguarded {
 			m.Version, m.Synced = n.State.Version, n.State.Version
 		}
@@ -281,7 +290,7 @@
 	n.Apply(n.planner.Next(n.State, time.Unix(0, n.now)))
 }
 
-// Must panics if an operator's command of a scenario fails.
+// Must carries out an operator's command, and panics if it fails.
 func (n *Net) Must(c *plan.Command) {
 	n.nextNum++
 	c.Request = time.Duration(n.nextNum).String()
