--- a/emulator/cmd/catkinrail-emulator/proxy.go
+++ b/emulator/cmd/catkinrail-emulator/proxy.go
@@ -14,16 +14,16 @@
 	"catkinrail.example/catkinrail/platform/standin"
 )
 
-// proxyCommand passes on the connections to control instances, and harms them.
+// proxyCommand proxies the connections to control instances and injects faults.
 func proxyCommand(app *kingpin.Application) command {
-	c := app.Command("platform-proxy", "Pass on connections to control instances, and harm them.")
+	c := app.Command("platform-proxy", "Proxy connections to control instances and inject network faults.")
 	links := c.Flag("node", "Addresses of a control instance as LISTEN=TARGET; repeat it for all.").Required().Strings()
 	seed := c.Flag("seed", "Seed of the faults.").Required().Uint64()
 	return command{clause: c, run: func(ctx context.Context) error {
 		g, ctx := errgroup.WithContext(ctx)
-		var nodes []*proxy.Node
+		var instances []*proxy.Instance
 		for _, text := range *links {
-			n, err := proxyNode(text)
+			n, err := parseInstance(text)
 			if err != nil {
 				return err
 			}
@@ -32,18 +32,19 @@
 					return err
 				}
 			}
-			nodes = append(nodes, n)
+			instances = append(instances, n)
 		}
 		g.Go(func() error {
-			proxy.Harm(ctx, *seed, nodes, os.Stdout)
+			proxy.InjectFaults(ctx, *seed, instances, os.Stdout)
 			return nil
 		})
 		return g.Wait()
 	}}
 }
 
-// proxyNode reads LISTEN=TARGET.
-func proxyNode(text string) (*proxy.Node, error) {
+// parseInstance parses LISTEN=TARGET and returns links for the control and the
+// internal port.
+func parseInstance(text string) (*proxy.Instance, error) {
 	from, to, ok := strings.Cut(text, "=")
 	if !ok {
 		return nil, fmt.Errorf("%q is not LISTEN=TARGET", text)
@@ -56,7 +57,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &proxy.Node{Name: from}
+	n := &proxy.Instance{Name: from}
 	for _, port := range []uint16{standin.ControlPort, standin.InternalPort} {
 		n.Links = append(n.Links, &proxy.Link{Listen: netip.AddrPortFrom(listen, port), Target: netip.AddrPortFrom(target, port)})
 	}
--- a/emulator/proxy/faults.go
+++ b/emulator/proxy/faults.go
@@ -10,88 +10,92 @@
 	"catkinrail.example/catkinrail/transport/clock"
 )
 
-// Times of a fault.
+// Timing of faults.
 const (
-	// maxPause is the longest time between two faults.
-	maxPause = 1500 * time.Millisecond
-	// minSpan and maxSpan bound how long a cut or a delay lasts.
-	minSpan = 300 * time.Millisecond
-	maxSpan = 3 * time.Second
-	// minDelay and maxDelay bound what a delay adds to each chunk.
+	// maxFaultInterval is the maximum pause between two faults.
+	maxFaultInterval = 1500 * time.Millisecond
+	// minFaultDuration and maxFaultDuration bound how long bytes are blocked or
+	// delayed.
+	minFaultDuration = 300 * time.Millisecond
+	maxFaultDuration = 3 * time.Second
+	// minDelay and maxDelay bound the delay of each chunk.
 	minDelay = 10 * time.Millisecond
 	maxDelay = 200 * time.Millisecond
 )
 
-// Node is an instance and the links that lead to it.
-type Node struct {
+// Instance is an instance of the system and the links to its addresses.
+type Instance struct {
 	Name  string
 	Links []*Link
 }
 
-// each calls f for all links.
-func (n *Node) each(f func(*Link)) {
+// forEachLink calls f for each link.
+func (n *Instance) forEachLink(f func(*Link)) {
 	for _, l := range n.Links {
 		f(l)
 	}
 }
 
-// harm is a kind of fault.
-type harm struct {
+// fault is a kind of fault.
+type fault struct {
 	name string
-	// begin harms a node; end, if there is one, ends it after a span.
-	begin, end func(*Node)
+	// start injects the fault; stop ends it, and is nil if the fault doesn't last.
+	start, stop func(*Instance)
 }
 
-func harms(rng *rand.Rand) []harm {
-	return []harm{
-		{"reset", func(n *Node) { n.each((*Link).Reset) }, nil},
-		{"silent", func(n *Node) { n.each((*Link).Silence) }, nil},
+// newFaults returns the kinds of faults. Their names appear in the output.
+func newFaults(rng *rand.Rand) []fault {
+	return []fault{
+		{"reset", func(n *Instance) { n.forEachLink((*Link).Reset) }, nil},
+		{"silent", func(n *Instance) { n.forEachLink((*Link).Blackhole) }, nil},
 		{
 			"delayed",
-			func(n *Node) {
-				d := between(rng, minDelay, maxDelay)
-				n.each(func(l *Link) { l.Delay(d) })
+			func(n *Instance) {
+				d := randomDuration(rng, minDelay, maxDelay)
+				n.forEachLink(func(l *Link) { l.Delay(d) })
 			},
-			func(n *Node) { n.each(func(l *Link) { l.Delay(0) }) },
+			func(n *Instance) { n.forEachLink(func(l *Link) { l.Delay(0) }) },
 		},
 		{
 			"cut towards it",
-			func(n *Node) { n.each(func(l *Link) { l.CutToTarget(true) }) },
-			func(n *Node) { n.each(func(l *Link) { l.CutToTarget(false) }) },
+			func(n *Instance) { n.forEachLink(func(l *Link) { l.BlockToTarget(true) }) },
+			func(n *Instance) { n.forEachLink(func(l *Link) { l.BlockToTarget(false) }) },
 		},
 		{
 			"cut away from it",
-			func(n *Node) { n.each(func(l *Link) { l.CutFromTarget(true) }) },
-			func(n *Node) { n.each(func(l *Link) { l.CutFromTarget(false) }) },
+			func(n *Instance) { n.forEachLink(func(l *Link) { l.BlockFromTarget(true) }) },
+			func(n *Instance) { n.forEachLink(func(l *Link) { l.BlockFromTarget(false) }) },
 		},
 	}
 }
 
-// Harm harms one node after the other, at times drawn from the seed, until ctx
-// ends, and writes a line for each fault.
-func Harm(ctx context.Context, seed uint64, nodes []*Node, w io.Writer) {
+// InjectFaults injects one fault at a time into a random instance's links, at random
+// times, until ctx ends, and writes a line for each to w. All choices come from the
+// seed.
+func InjectFaults(ctx context.Context, seed uint64, instances []*Instance, w io.Writer) {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	kinds := harms(rng)
+	kinds := newFaults(rng)
 	for {
-		if !clock.Sleep(ctx, between(rng, 0, maxPause)) {
+		if !clock.Sleep(ctx, randomDuration(rng, 0, maxFaultInterval)) {
 			return
 		}
-		h, n := kinds[rng.IntN(len(kinds))], nodes[rng.IntN(len(nodes))]
-		span := between(rng, minSpan, maxSpan)
-		h.begin(n)
-		if h.end == nil {
-			fmt.Fprintf(w, "connections to %s: %s\n", n.Name, h.name)
+		f, inst := kinds[rng.IntN(len(kinds))], instances[rng.IntN(len(instances))]
+		duration := randomDuration(rng, minFaultDuration, maxFaultDuration)
+		f.start(inst)
+		if f.stop == nil {
+			fmt.Fprintf(w, "connections to %s: %s\n", inst.Name, f.name)
 			continue
 		}
-		fmt.Fprintf(w, "connections to %s: %s for %s\n", n.Name, h.name, span)
-		running := clock.Sleep(ctx, span)
-		h.end(n)
+		fmt.Fprintf(w, "connections to %s: %s for %s\n", inst.Name, f.name, duration)
+		running := clock.Sleep(ctx, duration)
+		f.stop(inst)
 		if !running {
 			return
 		}
 	}
 }
 
-func between(rng *rand.Rand, least, most time.Duration) time.Duration {
+// randomDuration returns a duration of at least least and less than most.
+func randomDuration(rng *rand.Rand, least, most time.Duration) time.Duration {
 	return least + time.Duration(rng.Int64N(int64(most-least)))
 }
--- a/emulator/proxy/proxy.go
+++ b/emulator/proxy/proxy.go
@@ -1,5 +1,5 @@
-// Package proxy passes TCP connections on between the system's processes and harms
-// them as a faulty network would.
+// Package proxy forwards TCP connections between the system's processes and injects
+// network faults into them.
 package proxy
 
 import (
@@ -14,15 +14,16 @@
 )
 
 const (
-	// dialTimeout bounds a connection to the target.
+	// dialTimeout limits how long connecting to the target may take.
 	dialTimeout = time.Second
-	// holdPoll is the time between two looks whether a cut is over.
-	holdPoll = 5 * time.Millisecond
-	// chunk is the most that is passed on at a time, in bytes.
-	chunk = 16 << 10
+	// blockPollInterval is how often a blocked connection checks whether it is
+	// still blocked.
+	blockPollInterval = 5 * time.Millisecond
+	// chunkSize is the maximum number of bytes that are forwarded at a time.
+	chunkSize = 16 << 10
 )
 
-// direction is the way that bytes take through a link.
+// direction is the direction of bytes on a link.
 type direction int
 
 const (
@@ -31,28 +32,30 @@
 	directions
 )
 
-// Link is an address whose connections are passed on to a target.
+// Link forwards the connections to the address Listen to the address Target. Its
+// methods are safe for concurrent use.
 type Link struct {
 	Listen, Target netip.AddrPort
 
 	mu    sync.Mutex
-	conns map[*pair]bool
-	// cut holds the bytes of a direction back.
-	cut [directions]bool
+	conns map[*connPair]bool
+	// blocked is set for each direction in which no bytes pass.
+	blocked [directions]bool
 	// delay is added to each chunk.
 	delay time.Duration
 }
 
-// pair is a connection and the one that it is passed on to.
-type pair struct {
-	caller, target net.Conn
-	// silent is set once nothing passes any more.
-	silent bool
+// connPair is a client's connection and the one to the target.
+type connPair struct {
+	client, target net.Conn
+	// blackholed is set once no more bytes pass in either direction.
+	blackholed bool
 }
 
-// Run passes connections on until ctx ends.
+// Run listens and forwards connections, in goroutines of g, until ctx ends. Call it
+// once, before the other methods.
 func (l *Link) Run(ctx context.Context, g *errgroup.Group) error {
-	l.conns = map[*pair]bool{}
+	l.conns = map[*connPair]bool{}
 	var lc net.ListenConfig
 	ln, err := lc.Listen(ctx, "tcp", l.Listen.String())
 	if err != nil {
@@ -81,8 +84,8 @@
 	return nil
 }
 
-// serve passes a connection on until either end closes it. What the target
-// refuses is reset.
+// serve forwards a connection until both directions have ended. If the target can't
+// be reached, it resets the connection.
 func (l *Link) serve(ctx context.Context, c net.Conn) {
 	d := net.Dialer{Timeout: dialTimeout}
 	t, err := d.DialContext(ctx, "tcp", l.Target.String())
@@ -90,13 +93,13 @@
 		reset(c)
 		return
 	}
-	p := &pair{caller: c, target: t}
+	p := &connPair{client: c, target: t}
 	l.mu.Lock()
 	l.conns[p] = true
 	l.mu.Unlock()
 	var g errgroup.Group
-	g.Go(func() error { return l.copy(ctx, p, p.target, p.caller, toTarget) })
-	g.Go(func() error { return l.copy(ctx, p, p.caller, p.target, fromTarget) })
+	g.Go(func() error { return l.copy(ctx, p, p.target, p.client, toTarget) })
+	g.Go(func() error { return l.copy(ctx, p, p.client, p.target, fromTarget) })
 	err = g.Wait()
 	l.mu.Lock()
 	delete(l.conns, p)
@@ -109,12 +112,12 @@
 	_ = t.Close()
 }
 
-// copy passes one direction on. An end of the stream is passed on, too.
-func (l *Link) copy(ctx context.Context, p *pair, dst, src net.Conn, dir direction) error {
-	b := make([]byte, chunk)
+// copy forwards the bytes of one direction, and the end of the stream.
+func (l *Link) copy(ctx context.Context, p *connPair, dst, src net.Conn, dir direction) error {
+	b := make([]byte, chunkSize)
 	for {
 		n, err := src.Read(b)
-		if !l.hold(ctx, p, dir) {
+		if !l.awaitUnblocked(ctx, p, dir) {
 			return ctx.Err()
 		}
 		if n > 0 {
@@ -129,10 +132,10 @@
 	}
 }
 
-// hold waits until bytes may pass in the direction, and reports whether ctx still
-// runs.
-func (l *Link) hold(ctx context.Context, p *pair, dir direction) bool {
-	t := time.NewTimer(l.delayNow())
+// awaitUnblocked waits for the link's delay and then until the direction is not
+// blocked. It returns false if ctx ends first.
+func (l *Link) awaitUnblocked(ctx context.Context, p *connPair, dir direction) bool {
+	t := time.NewTimer(l.currentDelay())
 	defer t.Stop()
 	for {
 		select {
@@ -140,57 +143,57 @@
 			return false
 		case <-t.C:
 		}
-		if !l.held(p, dir) {
+		if !l.isBlocked(p, dir) {
 			return true
 		}
-		t.Reset(holdPoll)
+		t.Reset(blockPollInterval)
 	}
 }
 
-func (l *Link) delayNow() time.Duration {
+func (l *Link) currentDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.delay
 }
 
-func (l *Link) held(p *pair, dir direction) bool {
+func (l *Link) isBlocked(p *connPair, dir direction) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.cut[dir] || p.silent
+	return l.blocked[dir] || p.blackholed
 }
 
-// Delay adds a delay to all that passes; zero ends it.
+// Delay delays each chunk by d; zero ends the delay.
 func (l *Link) Delay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delay = d
 }
 
-// CutToTarget holds back what goes to the target, or lets it pass again.
-func (l *Link) CutToTarget(on bool) {
+// BlockToTarget holds back the bytes to the target, or lets them pass again.
+func (l *Link) BlockToTarget(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut[toTarget] = on
+	l.blocked[toTarget] = on
 }
 
-// CutFromTarget holds back what comes from the target, or lets it pass again.
-func (l *Link) CutFromTarget(on bool) {
+// BlockFromTarget holds back the bytes from the target, or lets them pass again.
+func (l *Link) BlockFromTarget(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut[fromTarget] = on
+	l.blocked[fromTarget] = on
 }
 
-// Silence lets nothing more pass on the connections that are open, and leaves
-// them open. New ones work.
-func (l *Link) Silence() {
+// Blackhole stops all bytes on the open connections for good, but leaves them open.
+// New connections work.
+func (l *Link) Blackhole() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for p := range l.conns {
-		p.silent = true
+		p.blackholed = true
 	}
 }
 
-// Reset resets the connections that are open.
+// Reset resets all open connections.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -199,12 +202,12 @@
 	}
 }
 
-func (p *pair) reset() {
-	reset(p.caller)
+func (p *connPair) reset() {
+	reset(p.client)
 	reset(p.target)
 }
 
-// reset closes a connection such that its peer sees a reset.
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/emulator/proxy/proxy_test.go
+++ b/emulator/proxy/proxy_test.go
@@ -13,12 +13,12 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// never is longer than anything that must arrive takes, and short enough to wait
-// for what must not.
-const never = 200 * time.Millisecond
+// quietPeriod is how long a test waits for bytes that must not arrive. It is longer
+// than an answer takes.
+const quietPeriod = 200 * time.Millisecond
 
-// echo starts a server that sends back what it gets, behind a link.
-func echo(t *testing.T) *Link {
+// startEcho starts an echo server behind a link.
+func startEcho(t *testing.T) *Link {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	g, ctx := errgroup.WithContext(ctx)
@@ -58,7 +58,7 @@
 	return c
 }
 
-func answered(t *testing.T, c net.Conn) {
+func requireAnswer(t *testing.T, c net.Conn) {
 	t.Helper()
 	_, err := c.Write([]byte("ping"))
 	require.NoError(t, err)
@@ -66,54 +66,54 @@
 	require.NoError(t, err)
 }
 
-func silent(t *testing.T, c net.Conn) {
+func requireNoAnswer(t *testing.T, c net.Conn) {
 	t.Helper()
 	_, err := c.Write([]byte("ping"))
 	require.NoError(t, err)
-	require.NoError(t, c.SetReadDeadline(time.Now().Add(never)))
+	require.NoError(t, c.SetReadDeadline(time.Now().Add(quietPeriod)))
 	_, err = c.Read(make([]byte, 4))
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	require.NoError(t, c.SetReadDeadline(time.Time{}))
 }
 
-func TestSilentConnectionsStayOpenAndNewOnesWork(t *testing.T) {
-	l := echo(t)
+func TestBlackholedConnectionsStayOpenAndNewOnesWork(t *testing.T) {
+	l := startEcho(t)
 	c := dial(t, l)
-	answered(t, c)
-	l.Silence()
-	silent(t, c)
-	answered(t, dial(t, l))
+	requireAnswer(t, c)
+	l.Blackhole()
+	requireNoAnswer(t, c)
+	requireAnswer(t, dial(t, l))
 }
 
-func TestBytesHeldBackByACutArriveAfterIt(t *testing.T) {
+func TestBlockedBytesArriveAfterUnblocking(t *testing.T) {
 	tests := []struct {
-		name string
-		cut  func(*Link, bool)
+		name  string
+		block func(*Link, bool)
 	}{
-		{"towards the target", (*Link).CutToTarget},
-		{"from the target", (*Link).CutFromTarget},
+		{"towards the target", (*Link).BlockToTarget},
+		{"from the target", (*Link).BlockFromTarget},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			l := echo(t)
+			l := startEcho(t)
 			c := dial(t, l)
-			answered(t, c)
-			tt.cut(l, true)
-			silent(t, c)
-			tt.cut(l, false)
+			requireAnswer(t, c)
+			tt.block(l, true)
+			requireNoAnswer(t, c)
+			tt.block(l, false)
 			_, err := io.ReadFull(c, make([]byte, 4))
 			require.NoError(t, err)
-			answered(t, c)
+			requireAnswer(t, c)
 		})
 	}
 }
 
 func TestResetEndsConnections(t *testing.T) {
-	l := echo(t)
+	l := startEcho(t)
 	c := dial(t, l)
-	answered(t, c)
+	requireAnswer(t, c)
 	l.Reset()
 	_, err := c.Read(make([]byte, 1))
 	require.Error(t, err)
-	answered(t, dial(t, l))
+	requireAnswer(t, dial(t, l))
 }
