--- a/emulator/backend/announce.go
+++ b/emulator/backend/announce.go
@@ -12,11 +12,13 @@
 
 const (
 	announceTimeout = time.Second
-	firstRetry      = 100 * time.Millisecond
+	// retryInterval is the time before an announcement is sent to the next entry
+	// instance after a failure.
+	retryInterval = 100 * time.Millisecond
 )
 
-// announce tells an entry instance of the zone about the server at intervals. If
-// one doesn't answer, the next one is told.
+// announce sends announcements to an entry instance of the zone at intervals until
+// ctx ends. If one fails, it goes on with the next instance.
 func (s *Server) announce(ctx context.Context) error {
 	body, err := json.Marshal(s.announcement())
 	if err != nil {
@@ -26,9 +28,9 @@
 	at := 0
 	for ctx.Err() == nil {
 		wait := announceInterval
-		if err := post(ctx, client, s.cfg.Entries[at%len(s.cfg.Entries)], body); err != nil {
+		if err := postAnnouncement(ctx, client, s.cfg.Entries[at%len(s.cfg.Entries)], body); err != nil {
 			at++
-			wait = firstRetry
+			wait = retryInterval
 		}
 		t := time.NewTimer(wait)
 		select {
@@ -40,7 +42,8 @@
 	return nil
 }
 
-func post(ctx context.Context, client *http.Client, addr string, body []byte) error {
+// postAnnouncement posts an announcement to the entry instance at addr.
+func postAnnouncement(ctx context.Context, client *http.Client, addr string, body []byte) error {
 	url := fmt.Sprintf("http://%s/v1/announce", addr)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
--- a/emulator/backend/server.go
+++ b/emulator/backend/server.go
@@ -1,4 +1,4 @@
-// Package backend emulates backend servers: they announce themselves, take
+// Package backend emulates backend servers: they announce themselves, receive
 // packets as IP in UDP, and answer the caller directly.
 package backend
 
@@ -25,21 +25,23 @@
 	Addr          netip.Addr
 	Slots         int
 	Incarnation   uint64
-	// Callers is where answers go.
+	// Callers is the address that answers are sent to.
 	Callers netip.AddrPort
 	// Entries are the announcement addresses of the zone's entry instances.
 	Entries []string
 }
 
-// Server is one backend server.
+// Server is an emulated backend server.
 type Server struct {
-	cfg      Config
-	conns    []*udp.Conn
+	cfg   Config
+	conns []*udp.Conn
+	// Accepted counts the flows that were accepted.
 	Accepted atomic.Int64
-	Resets   atomic.Int64
+	// Resets counts the resets that were sent for unknown flows.
+	Resets atomic.Int64
 }
 
-// New opens the server's sockets, one a slot.
+// New opens the server's sockets, one per slot.
 func New(ctx context.Context, cfg Config) (*Server, error) {
 	s := &Server{cfg: cfg}
 	for range cfg.Slots {
@@ -52,7 +54,8 @@
 	return s, nil
 }
 
-// Run serves until ctx ends.
+// Run starts goroutines in g that serve packets and send announcements until ctx
+// ends.
 func (s *Server) Run(ctx context.Context, g *errgroup.Group) {
 	for i, c := range s.conns {
 		slot := &slot{server: s, conn: c, name: fmt.Sprintf("%s#%d/%d", s.cfg.Name, s.cfg.Incarnation, i), flows: map[catkinrail.FlowKey]*flow{}}
@@ -61,7 +64,7 @@
 	g.Go(func() error { return s.announce(ctx) })
 }
 
-// announcement returns what the server says of itself.
+// announcement returns the server's announcement.
 func (s *Server) announcement() plan.Announcement {
 	a := plan.Announcement{
 		Service: s.cfg.Service, Name: s.cfg.Name, Zone: s.cfg.Zone, Incarnation: s.cfg.Incarnation,
@@ -81,9 +84,11 @@
 type slot struct {
 	server *Server
 	conn   *udp.Conn
-	name   string
-	flows  map[catkinrail.FlowKey]*flow
-	out    [][]byte
+	// name identifies the server's incarnation and the slot in answers.
+	name  string
+	flows map[catkinrail.FlowKey]*flow
+	// queued holds the answers to send with the next flush.
+	queued [][]byte
 }
 
 func (s *slot) run(ctx context.Context) error {
@@ -98,8 +103,8 @@
 			return catkinrail.At(err, "read packets", s.name)
 		}
 		for i := range n {
-			if b, whole := s.conn.Datagram(i); whole {
-				s.packet(b)
+			if b, complete := s.conn.Datagram(i); complete {
+				s.handlePacket(b)
 			}
 		}
 		s.flush()
@@ -107,16 +112,16 @@
 }
 
 func (s *slot) flush() {
-	for _, b := range s.out {
+	for _, b := range s.queued {
 		s.conn.Queue(s.server.cfg.Callers, b)
 	}
 	s.conn.Flush()
-	s.out = s.out[:0]
+	s.queued = s.queued[:0]
 }
 
-// packet answers one packet as a TCP or UDP stack with a service behind it
+// handlePacket answers a packet as a TCP or UDP stack with a service behind it
 // would.
-func (s *slot) packet(b []byte) {
+func (s *slot) handlePacket(b []byte) {
 	var h ip.Header
 	if ip.Parse(b, &h) != ip.FaultNone || h.Quoted {
 		return
@@ -139,12 +144,12 @@
 	case h.Flags&ip.FlagFIN != 0:
 		delete(s.flows, h.Key)
 	default:
-		s.request(&h, f, b[h.Payload:])
+		s.handleRequest(&h, f, b[h.Payload:])
 	}
 }
 
-// request answers with as many chunks as the caller asks for.
-func (s *slot) request(h *ip.Header, f *flow, payload []byte) {
+// handleRequest answers a request with the number of chunks that it asks for.
+func (s *slot) handleRequest(h *ip.Header, f *flow, payload []byte) {
 	r, ok := wire.ParseRequest(payload)
 	if !ok {
 		return
@@ -165,8 +170,8 @@
 	if a != nil {
 		seg.Payload = a.Append(nil)
 	}
-	s.out = append(s.out, ip.Append(nil, seg))
+	s.queued = append(s.queued, ip.Append(nil, seg))
 }
 
-// announceInterval is the time between two announcements.
+// announceInterval is the time between two successful announcements.
 const announceInterval = 2 * time.Second
