--- a/emulator/caller/caller.go
+++ b/emulator/caller/caller.go
@@ -1,6 +1,6 @@
-// Package caller emulates callers: each opens a flow to a service, sends
-// requests on it, and checks that every answer is whole and comes from the
-// backend server that the flow began with.
+// Package caller emulates callers: each opens a flow to a service, sends requests
+// on it, and checks that every answer is complete and comes from the slot that
+// answered first.
 package caller
 
 import (
@@ -22,9 +22,10 @@
 // Timing of flows.
 const (
 	tickInterval = 10 * time.Millisecond
-	// firstRetry is the time after which a packet is sent again; it doubles.
-	firstRetry = time.Second
-	maxTries   = 7
+	// firstRetryInterval is the time before a packet is sent again; it doubles with
+	// each attempt.
+	firstRetryInterval = time.Second
+	maxAttempts        = 7
 )
 
 // Profile describes the flows to one service.
@@ -32,22 +33,25 @@
 	Service string
 	Addr    netip.AddrPort
 	Proto   uint8
-	Flows   int
-	// Every is the time between a flow's requests.
-	Every time.Duration
-	// Requests is the number of requests of a flow; 0 lasts to the end.
+	// Flows is the number of flows.
+	Flows int
+	// Interval is the time from an answer to the flow's next request.
+	Interval time.Duration
+	// Requests is the number of requests of a flow; with 0 it sends requests until
+	// FinishFlows.
 	Requests int
-	Chunks   int
+	// Chunks is the number of chunks of each answer.
+	Chunks int
 }
 
-// state is what a caller knows of its flow.
+// state is the state of a flow as its caller sees it.
 type state uint8
 
 const (
-	waiting state = iota
+	notStarted state = iota
 	connecting
 	idle
-	asking
+	awaitingAnswer
 	closed
 	failed
 )
@@ -57,16 +61,21 @@
 	profile *Profile
 	key     catkinrail.FlowKey
 	state   state
-	server  string
-	cause   string
-	next    time.Time
-	tries   int
-	request wire.Request
-	got     map[int]bool
-	done    int
+	// server is the name of the slot that answered first.
+	server string
+	// cause says why the flow failed.
+	cause string
+	// nextAction is when the next packet is due.
+	nextAction time.Time
+	// attempts counts how often the current packet was sent.
+	attempts int
+	request  wire.Request
+	// received holds the indexes of the chunks received for the request.
+	received     map[int]bool
+	requestsDone int
 }
 
-// Callers run all flows.
+// Callers runs the flows of all profiles. Its methods are safe for concurrent use.
 type Callers struct {
 	clock  catkinrail.Clock
 	fabric *fabric.Fabric
@@ -74,47 +83,48 @@
 
 	mu    sync.Mutex
 	flows map[catkinrail.FlowKey]*flow
-	list  []*flow
-	// ending is set once flows should finish what they have begun and close.
-	ending bool
+	order []*flow
+	// finishing is set once FinishFlows was called.
+	finishing bool
 }
 
-// New returns callers that take answers on conn.
+// New returns callers that send packets through f and receive answers on conn.
 func New(clock catkinrail.Clock, f *fabric.Fabric, conn *udp.Conn) *Callers {
 	return &Callers{clock: clock, fabric: f, conn: conn, flows: map[catkinrail.FlowKey]*flow{}}
 }
 
-// Add adds the profile's flows, which begin evenly over the ramp.
+// Add adds the profile's flows, whose starts are spread evenly over the ramp.
 func (c *Callers) Add(p *Profile, ramp time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.clock.Now()
 	for i := range p.Flows {
-		n := len(c.list)
+		n := len(c.order)
 		src := netip.AddrFrom4([4]byte{10, byte(n >> 16), byte(n >> 8), byte(n)})
-		f := &flow{profile: p, next: now.Add(ramp * time.Duration(i) / time.Duration(p.Flows))}
+		f := &flow{profile: p, nextAction: now.Add(ramp * time.Duration(i) / time.Duration(p.Flows))}
 		f.key = catkinrail.FlowKey{
 			Src: src.As16(), SrcPort: uint16(20000 + n%20000),
 			Dst: p.Addr.Addr().As16(), DstPort: p.Addr.Port(), Proto: p.Proto,
 		}
 		c.flows[f.key] = f
-		c.list = append(c.list, f)
+		c.order = append(c.order, f)
 	}
 }
 
-// Run runs the flows until ctx ends.
+// Run starts goroutines in g that run the flows until ctx ends.
 func (c *Callers) Run(ctx context.Context, g *errgroup.Group) {
 	g.Go(func() error { return c.read(ctx) })
 	g.Go(func() error { return c.tick(ctx) })
 }
 
-// End makes flows finish their request and close.
-func (c *Callers) End() {
+// FinishFlows makes each flow finish its request and then close. No more flows open.
+func (c *Callers) FinishFlows() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ending = true
+	c.finishing = true
 }
 
+// tick sends the packets that are due, until ctx ends.
 func (c *Callers) tick(ctx context.Context) error {
 	out, err := udp.Listen(ctx, netip.AddrPortFrom(c.conn.LocalAddr().Addr(), 0))
 	if err != nil {
@@ -131,9 +141,9 @@
 		}
 		c.mu.Lock()
 		now := c.clock.Now()
-		for _, f := range c.list {
-			if !now.Before(f.next) {
-				c.advance(f, now, out)
+		for _, f := range c.order {
+			if !now.Before(f.nextAction) {
+				c.step(f, now, out)
 			}
 		}
 		c.mu.Unlock()
@@ -141,68 +151,71 @@
 	}
 }
 
-// advance sends what is due on a flow.
-func (c *Callers) advance(f *flow, now time.Time, out *udp.Conn) {
+// step takes a flow's next step, which is due.
+func (c *Callers) step(f *flow, now time.Time, out *udp.Conn) {
 	switch f.state {
-	case waiting:
-		if c.ending || c.fabric.Ready() == 0 {
+	case notStarted:
+		if c.finishing || c.fabric.Ready() == 0 {
 			return
 		}
 		f.state = connecting
-		f.tries = 0
+		f.attempts = 0
 		c.open(f, now, out)
 	case connecting:
 		c.open(f, now, out)
 	case idle:
-		if c.ending || (f.profile.Requests > 0 && f.done >= f.profile.Requests) {
+		if c.finishing || (f.profile.Requests > 0 && f.requestsDone >= f.profile.Requests) {
 			c.close(f, out)
 			return
 		}
-		f.state = asking
-		f.tries = 0
+		f.state = awaitingAnswer
+		f.attempts = 0
 		f.request = wire.Request{ID: f.request.ID + 1, Chunks: f.profile.Chunks}
-		f.got = map[int]bool{}
-		c.ask(f, now, out)
-	case asking:
-		c.ask(f, now, out)
+		f.received = map[int]bool{}
+		c.sendRequest(f, now, out)
+	case awaitingAnswer:
+		c.sendRequest(f, now, out)
 	}
 }
 
+// open sends the opening packet, or with UDP the first request.
 func (c *Callers) open(f *flow, now time.Time, out *udp.Conn) {
 	if f.key.Proto == catkinrail.ProtoUDP {
-		f.state = asking
+		f.state = awaitingAnswer
 		f.request = wire.Request{ID: 1, Chunks: f.profile.Chunks}
-		f.got = map[int]bool{}
-		c.ask(f, now, out)
+		f.received = map[int]bool{}
+		c.sendRequest(f, now, out)
 		return
 	}
-	if !c.retry(f, now, "no answer to the opening packet") {
+	if !c.scheduleRetry(f, now, "no answer to the opening packet") {
 		return
 	}
 	c.send(f, ip.FlagSYN, nil, out)
 }
 
-func (c *Callers) ask(f *flow, now time.Time, out *udp.Conn) {
-	if !c.retry(f, now, fmt.Sprintf("answer to request %d is not whole: %d of %d chunks", f.request.ID, len(f.got), f.request.Chunks)) {
+// sendRequest sends the flow's current request, for the first time or again.
+func (c *Callers) sendRequest(f *flow, now time.Time, out *udp.Conn) {
+	if !c.scheduleRetry(f, now, fmt.Sprintf("answer to request %d is not whole: %d of %d chunks", f.request.ID, len(f.received), f.request.Chunks)) {
 		return
 	}
 	c.send(f, ip.FlagACK, f.request.Append(nil), out)
 }
 
-// retry sets the time of the next attempt and fails the flow after too many.
-func (c *Callers) retry(f *flow, now time.Time, cause string) bool {
-	if f.tries == maxTries {
+// scheduleRetry counts an attempt and sets the time of the next one. After
+// maxAttempts it fails the flow with the cause and returns false.
+func (c *Callers) scheduleRetry(f *flow, now time.Time, cause string) bool {
+	if f.attempts == maxAttempts {
 		f.fail(cause)
 		return false
 	}
-	f.next = now.Add(firstRetry << f.tries)
-	f.tries++
+	f.nextAction = now.Add(firstRetryInterval << f.attempts)
+	f.attempts++
 	return true
 }
 
 func (c *Callers) close(f *flow, out *udp.Conn) {
 	f.state = closed
-	f.next = f.next.Add(365 * 24 * time.Hour)
+	f.nextAction = f.nextAction.Add(365 * 24 * time.Hour)
 	if f.key.Proto == catkinrail.ProtoTCP {
 		c.send(f, ip.FlagFIN|ip.FlagACK, nil, out)
 	}
@@ -215,6 +228,8 @@
 	}
 }
 
+// send queues a packet of the flow on out, to an entry instance that the fabric
+// picks. If none is ready, the packet is lost.
 func (c *Callers) send(f *flow, flags uint8, payload []byte, out *udp.Conn) {
 	to, ok := c.fabric.Pick()
 	if !ok {
@@ -223,6 +238,7 @@
 	out.Queue(to, ip.Append(nil, &ip.Segment{Key: f.key, Flags: flags, Seq: f.request.ID, Payload: payload}))
 }
 
+// read handles answers until ctx ends.
 func (c *Callers) read(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { c.conn.Close() })
 	defer stop()
@@ -236,16 +252,16 @@
 		}
 		c.mu.Lock()
 		for i := range n {
-			if b, whole := c.conn.Datagram(i); whole {
-				c.answer(b)
+			if b, complete := c.conn.Datagram(i); complete {
+				c.handlePacket(b)
 			}
 		}
 		c.mu.Unlock()
 	}
 }
 
-// answer handles a packet from a backend server.
-func (c *Callers) answer(b []byte) {
+// handlePacket handles a packet from a backend server.
+func (c *Callers) handlePacket(b []byte) {
 	var h ip.Header
 	if ip.Parse(b, &h) != ip.FaultNone {
 		return
@@ -262,11 +278,12 @@
 		return
 	}
 	if a, ok := wire.ParseAnswer(b[h.Payload:]); ok {
-		c.take(f, &a)
+		c.handleAnswer(f, &a)
 	}
 }
 
-func (c *Callers) take(f *flow, a *wire.Answer) {
+// handleAnswer checks a chunk of an answer and advances the flow.
+func (c *Callers) handleAnswer(f *flow, a *wire.Answer) {
 	if a.Service != f.profile.Service {
 		f.fail(fmt.Sprintf("answer of service %s for service %s", a.Service, f.profile.Service))
 		return
@@ -275,8 +292,8 @@
 		f.server = a.Server
 	}
 	if f.server != a.Server {
-		// The answer to an opening packet that was repeated may come from
-		// elsewhere; the flow goes on where it began.
+		// A retried opening packet may be answered by another slot, too; the flow
+		// stays with the one that answered first.
 		if a.Total > 0 {
 			f.fail(fmt.Sprintf("answer of %s; began with %s", a.Server, f.server))
 		}
@@ -285,38 +302,44 @@
 	switch {
 	case f.state == connecting && a.Total == 0:
 		f.state = idle
-		f.next = c.clock.Now()
-	case f.state == asking && a.ID == f.request.ID && a.Total == f.request.Chunks:
-		f.got[a.Index] = true
-		if len(f.got) == f.request.Chunks {
-			f.done++
+		f.nextAction = c.clock.Now()
+	case f.state == awaitingAnswer && a.ID == f.request.ID && a.Total == f.request.Chunks:
+		f.received[a.Index] = true
+		if len(f.received) == f.request.Chunks {
+			f.requestsDone++
 			f.state = idle
-			f.next = c.clock.Now().Add(f.profile.Every)
+			f.nextAction = c.clock.Now().Add(f.profile.Interval)
 		}
 	}
 }
 
-// Result sums up what happened.
+// Result summarizes the flows of a profile.
 type Result struct {
-	Service              string
+	Service string
+	// Served, Broken and Open are the numbers of flows that closed with all answers
+	// complete, that failed, and that are in any other state.
 	Served, Broken, Open int
-	Requests             int
-	ByServer             map[string]int
-	Causes               []string
-	Imbalance            float64
+	// Requests is the number of requests that were answered completely.
+	Requests int
+	// ByServer is the number of flows by the slot that answered first.
+	ByServer map[string]int
+	// Causes says why flows failed, for at most maxCauses of them.
+	Causes []string
+	// Imbalance is the maximum over the mean of ByServer.
+	Imbalance float64
 }
 
-// maxCauses bounds the causes that are listed for a service.
+// maxCauses limits the causes that are listed for a profile.
 const maxCauses = 10
 
-// Results returns the results by profile.
+// Results returns a result for each profile, in order.
 func (c *Callers) Results(profiles []*Profile) []Result {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []Result
 	for _, p := range profiles {
 		r := Result{Service: p.Service, ByServer: map[string]int{}}
-		for _, f := range c.list {
+		for _, f := range c.order {
 			if f.profile == p {
 				r.add(f)
 			}
@@ -328,7 +351,7 @@
 }
 
 func (r *Result) add(f *flow) {
-	r.Requests += f.done
+	r.Requests += f.requestsDone
 	if f.server != "" {
 		r.ByServer[f.server]++
 	}
@@ -345,7 +368,7 @@
 	}
 }
 
-// imbalance returns the maximum over the mean of flows by slot.
+// imbalance returns the maximum over the mean of flows by slot, or 0 without flows.
 func imbalance(by map[string]int) float64 {
 	total, most := 0, 0
 	for _, n := range by {
--- a/emulator/cmd/catkinrail-emulator/load.go
+++ b/emulator/cmd/catkinrail-emulator/load.go
@@ -74,7 +74,7 @@
 		if parts[2] == "udp" {
 			p.Proto = catkinrail.ProtoUDP
 		}
-		if p.Every, err = time.ParseDuration(parts[4]); err != nil {
+		if p.Interval, err = time.ParseDuration(parts[4]); err != nil {
 			return nil, fmt.Errorf("--flows %q: %w", text, err)
 		}
 		numbers := strings.Join([]string{parts[3], parts[5], parts[6]}, " ")
@@ -105,7 +105,7 @@
 	g.Go(func() error { return f.Run(runCtx) })
 	callers.Run(runCtx, g)
 	clock.Sleep(runCtx, duration)
-	callers.End()
+	callers.FinishFlows()
 	awaitEnd(runCtx, callers, profiles, finish)
 	cancel()
 	if err := g.Wait(); err != nil {
