--- a/emulator/control/standin.go
+++ b/emulator/control/standin.go
@@ -1,5 +1,5 @@
-// Package control measures control instances with stand-in entry instances: the
-// real client and routing engine without sockets for packets.
+// Package control measures control instances with stand-in entry instances: these
+// use the real control client and routing engine, but open no sockets for packets.
 package control
 
 import (
@@ -24,7 +24,7 @@
 	"catkinrail.example/catkinrail/transport/rpc"
 )
 
-// numZones is the number of zones that stand-ins spread over.
+// numZones is the number of zones that the stand-ins are spread over.
 const numZones = 6
 
 // standIn is a stand-in entry instance.
@@ -50,10 +50,10 @@
 	return s
 }
 
-// operator makes an operator's calls at whichever control instance leads.
+// operator sends an operator's calls to the control instance that leads.
 type operator struct {
 	clients []*rpc.Client
-	n       int
+	changes int
 }
 
 func newOperator(peers []string) *operator {
@@ -66,10 +66,11 @@
 
 const callTimeout = 2 * time.Second
 
-// change makes a change and returns the version at which it took effect.
+// change makes a change at the first control instance that accepts it, and returns
+// the change's version.
 func (o *operator) change(ctx context.Context, f func(context.Context, api.DRPCOperatorClient, *api.Change) (*api.ChangeReply, error)) (uint64, error) {
-	o.n++
-	c := &api.Change{Request: fmt.Sprintf("%d-%d", time.Now().UnixNano(), o.n)}
+	o.changes++
+	c := &api.Change{Request: fmt.Sprintf("%d-%d", time.Now().UnixNano(), o.changes)}
 	var reply *api.ChangeReply
 	var last error
 	for _, cl := range o.clients {
@@ -84,11 +85,11 @@
 	return 0, last
 }
 
-// fleet is a number of stand-ins that run.
+// fleet is a group of running stand-ins.
 type fleet struct {
-	list  []*standIn
-	group *errgroup.Group
-	stop  context.CancelFunc
+	instances []*standIn
+	group     *errgroup.Group
+	stop      context.CancelFunc
 }
 
 func startFleet(ctx context.Context, n int, peers []string, clk *clock.System) *fleet {
@@ -97,7 +98,7 @@
 	f := &fleet{group: g, stop: cancel}
 	for i := range n {
 		s := newStandIn(i, peers, clk)
-		f.list = append(f.list, s)
+		f.instances = append(f.instances, s)
 		g.Go(func() error { return s.client.Run(ctx) })
 		g.Go(func() error { return tick(ctx, s.engine, clk) })
 	}
@@ -106,8 +107,8 @@
 
 const tickInterval = 50 * time.Millisecond
 
-// tick does an engine's periodic work; its messages to other stand-ins are
-// dropped, as the stand-ins hold no records.
+// tick does an engine's periodic work until ctx ends. It drops the messages to other
+// stand-ins: these hold no records.
 func tick(ctx context.Context, e *route.Engine, clk *clock.System) error {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
@@ -121,42 +122,45 @@
 	}
 }
 
-// oldest returns the lowest version that a stand-in has in force.
-func (f *fleet) oldest() uint64 {
-	lowest := f.list[0].engine.Version()
-	for _, s := range f.list {
+// lowestVersion returns the lowest configuration version among the stand-ins.
+func (f *fleet) lowestVersion() uint64 {
+	lowest := f.instances[0].engine.Version()
+	for _, s := range f.instances {
 		lowest = min(lowest, s.engine.Version())
 	}
 	return lowest
 }
 
-func (f *fleet) bytes() int64 {
+// controlBytes returns the bytes that all stand-ins have exchanged with control.
+func (f *fleet) controlBytes() int64 {
 	total := int64(0)
-	for _, s := range f.list {
+	for _, s := range f.instances {
 		total += s.client.Bytes()
 	}
 	return total
 }
 
-// leave ends the fleet gracefully.
+// leave shuts all stand-ins down gracefully.
 func (f *fleet) leave(ctx context.Context) error {
-	for _, s := range f.list {
+	for _, s := range f.instances {
 		s.client.Leave()
 		s.client.Left()
 	}
-	clock.Sleep(ctx, leaveTime)
+	clock.Sleep(ctx, leaveWait)
 	f.stop()
 	return f.group.Wait()
 }
 
-const leaveTime = 3 * time.Second
+// leaveWait is the time for the heartbeats that report that the stand-ins left.
+const leaveWait = 3 * time.Second
 
-// await waits until every stand-in has the version, and returns how long it took.
-func (f *fleet) await(ctx context.Context, version uint64, limit time.Duration) (time.Duration, error) {
+// awaitVersion waits until every stand-in has the version, and returns how long that
+// took.
+func (f *fleet) awaitVersion(ctx context.Context, version uint64, timeout time.Duration) (time.Duration, error) {
 	began := time.Now()
-	for f.oldest() < version {
-		if time.Since(began) > limit || ctx.Err() != nil {
-			return 0, fmt.Errorf("version %d is not in force after %s; the oldest is %d", version, limit, f.oldest())
+	for f.lowestVersion() < version {
+		if time.Since(began) > timeout || ctx.Err() != nil {
+			return 0, fmt.Errorf("version %d is not in force at all stand-ins (limit %s): the lowest version is %d", version, timeout, f.lowestVersion())
 		}
 		clock.Sleep(ctx, time.Millisecond)
 	}
