--- a/emulator/cmd/catkinrail-emulator/load.go
+++ b/emulator/cmd/catkinrail-emulator/load.go
@@ -53,7 +53,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("--entry %q: %w", e, err)
 		}
-		list = append(list, fabric.Entry{Packets: addr, Health: health})
+		list = append(list, fabric.Entry{Packets: addr, ReadinessAddr: health})
 	}
 	return fabric.New(list), nil
 }
--- a/emulator/fabric/fabric.go
+++ b/emulator/fabric/fabric.go
@@ -1,5 +1,5 @@
-// Package fabric emulates the network fabric: it hands each packet to a random
-// entry instance that its health check finds ready.
+// Package fabric emulates the network fabric: it sends each packet to a random entry
+// instance that passes its health check.
 package fabric
 
 import (
@@ -17,14 +17,15 @@
 	checkTimeout  = 200 * time.Millisecond
 )
 
-// Entry is where an entry instance takes packets and health checks.
+// Entry holds an entry instance's addresses.
 type Entry struct {
+	// Packets is the address for packets.
 	Packets netip.AddrPort
-	// Health is the address of the readiness page.
-	Health string
+	// ReadinessAddr is the HTTP address, as host:port, for health checks.
+	ReadinessAddr string
 }
 
-// Fabric chooses entry instances.
+// Fabric picks entry instances for packets. It is safe for concurrent use.
 type Fabric struct {
 	entries []Entry
 	ready   atomic.Pointer[[]netip.AddrPort]
@@ -51,7 +52,7 @@
 	return len(*f.ready.Load())
 }
 
-// Run checks the entries until ctx ends.
+// Run checks the entries' health at intervals until ctx ends.
 func (f *Fabric) Run(ctx context.Context) error {
 	client := &http.Client{Timeout: checkTimeout}
 	ticker := time.NewTicker(checkInterval)
@@ -59,7 +60,7 @@
 	for {
 		var ready []netip.AddrPort
 		for _, e := range f.entries {
-			if healthy(ctx, client, e.Health) {
+			if isReady(ctx, client, e.ReadinessAddr) {
 				ready = append(ready, e.Packets)
 			}
 		}
@@ -72,7 +73,8 @@
 	}
 }
 
-func healthy(ctx context.Context, client *http.Client, addr string) bool {
+// isReady reports whether the instance's readiness endpoint returns 200.
+func isReady(ctx context.Context, client *http.Client, addr string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/readyz", nil)
 	if err != nil {
 		return false
