--- a/emulator/wire/wire.go
+++ b/emulator/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire defines what stand-in callers and backend servers say to each
-// other inside TCP and UDP packets.
+// Package wire defines the requests and answers that emulated callers and backend
+// servers exchange in the payload of TCP and UDP packets.
 package wire
 
 import (
@@ -18,14 +18,14 @@
 	return fmt.Appendf(b, "request %d %d", r.ID, r.Chunks)
 }
 
-// ParseRequest reads the text of a request.
+// ParseRequest parses the text of a request.
 func ParseRequest(b []byte) (r Request, ok bool) {
 	_, err := fmt.Sscanf(string(b), "request %d %d", &r.ID, &r.Chunks)
 	return r, err == nil
 }
 
-// Answer is one chunk of an answer. Total is 0 in the acknowledgement of an
-// opening packet.
+// Answer is a chunk of an answer: the Index-th of Total. Total is 0 in the answer to
+// an opening packet.
 type Answer struct {
 	Service, Server string
 	ID              uint32
@@ -37,7 +37,7 @@
 	return fmt.Appendf(b, "answer %s %s %d %d %d", a.Service, a.Server, a.ID, a.Index, a.Total)
 }
 
-// ParseAnswer reads the text of an answer.
+// ParseAnswer parses the text of an answer.
 func ParseAnswer(b []byte) (a Answer, ok bool) {
 	if !strings.HasPrefix(string(b), "answer ") {
 		return a, false
