--- a/emulator/cmd/catkinrail-emulator/measure.go
+++ b/emulator/cmd/catkinrail-emulator/measure.go
@@ -23,7 +23,7 @@
 		if err := os.MkdirAll(*out, outDirMode); err != nil {
 			return err
 		}
-		results, err := experiment.All(ctx, *seed, *scale, *baselineScale)
+		results, err := experiment.RunAll(ctx, *seed, *scale, *baselineScale)
 		if err != nil {
 			return err
 		}
@@ -41,8 +41,8 @@
 			return err
 		}
 		w := experiment.Summarize(results)
-		fmt.Printf("late-flows: %d\n", w.Late)
-		fmt.Printf("imbalance-during: %.3f\n", w.During)
+		fmt.Printf("late-flows: %d\n", w.LateFlows)
+		fmt.Printf("imbalance-during: %.3f\n", w.DuringImbalance)
 		fmt.Printf("imbalance-tracked: %.3f\n", w.TrackedImbalance)
 		fmt.Printf("planned-broken: %d\n", w.PlannedBroken)
 		fmt.Printf("unplanned-broken: %d\n", w.UnplannedBroken)
--- a/emulator/experiment/report.go
+++ b/emulator/experiment/report.go
@@ -19,21 +19,28 @@
 	fmt.Fprintln(w, "site\tpolicy\tscenario\tflows\tbroken\tlate\tearly new\tnew\theld\theld by slot\theld during\trelayed\tcontrol B/s\trecords\t")
 	for _, r := range results {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.1f%%\t%.0f\t%d\t\n", r.Site, r.Policy, r.Scenario,
-			r.Flows, r.Broken, r.Late, r.Early, r.Imbalance, r.Held, r.BySlot, r.During, 100*r.Relayed, r.ControlBytes, r.Records)
+			r.Flows, r.Broken, r.LateFlows, r.EarlyImbalance, r.Imbalance, r.HeldImbalance, r.SlotImbalance, r.DuringImbalance, 100*r.RelayedShare, r.ControlBytes, r.MaxRecords)
 	}
 	return w.Flush()
 }
 
-// Worst sums up the chosen policy: the worst scenario of each figure.
+// Worst holds the worst value of each figure over all sites and scenarios.
 type Worst struct {
+	// PlannedBroken and UnplannedBroken are the broken flows in planned and in other
+	// scenarios.
 	PlannedBroken, UnplannedBroken int
-	Imbalance, TrackedImbalance    float64
-	During                         float64
-	ControlBytes                   float64
-	Late                           int
+	// Imbalance and TrackedImbalance are the imbalances of new flows in planned
+	// scenarios, the latter with the policy "tracked".
+	Imbalance, TrackedImbalance float64
+	// DuringImbalance is the maximum of the results' DuringImbalance and
+	// EarlyImbalance in planned scenarios.
+	DuringImbalance float64
+	ControlBytes    float64
+	LateFlows       int
 }
 
-// Summarize returns the worst figures of the chosen policy.
+// Summarize returns the worst figures of the first of Policies; only
+// TrackedImbalance is that of the policy "tracked".
 func Summarize(results []Result) Worst {
 	var w Worst
 	for _, r := range results {
@@ -46,11 +53,11 @@
 		if r.Planned {
 			w.PlannedBroken = max(w.PlannedBroken, r.Broken)
 			w.Imbalance = max(w.Imbalance, r.Imbalance)
-			w.During = max(w.During, r.During, r.Early)
+			w.DuringImbalance = max(w.DuringImbalance, r.DuringImbalance, r.EarlyImbalance)
 		} else {
 			w.UnplannedBroken = max(w.UnplannedBroken, r.Broken)
 		}
-		w.Late = max(w.Late, r.Late)
+		w.LateFlows = max(w.LateFlows, r.LateFlows)
 		w.ControlBytes = max(w.ControlBytes, r.ControlBytes)
 	}
 	return w
@@ -60,8 +67,10 @@
 const (
 	plotWidth  = 30 * vg.Centimeter
 	plotHeight = 14 * vg.Centimeter
-	barWidth   = vg.Length(9)
-	legendRoom = 1.35
+	// barWidth is in points.
+	barWidth = vg.Length(9)
+	// legendFactor extends the vertical axis to make room for the legend.
+	legendFactor = 1.35
 )
 
 var palette = []color.RGBA{
@@ -74,7 +83,7 @@
 	{214, 39, 40, 255},
 }
 
-// figure is one plotted quantity.
+// figure is a bar chart of one quantity.
 type figure struct {
 	file, title, unit string
 	value             func(*Result) float64
@@ -82,11 +91,11 @@
 
 var figures = []figure{
 	{"broken.png", "Broken flows by scenario", "flows, log10(1 + n)", func(r *Result) float64 { return math.Log10(1 + float64(r.Broken)) }},
-	{"relayed.png", "Relayed packets by scenario", "% of packets", func(r *Result) float64 { return 100 * r.Relayed }},
+	{"relayed.png", "Relayed packets by scenario", "% of packets", func(r *Result) float64 { return 100 * r.RelayedShare }},
 	{"imbalance.png", "Imbalance of new flows by backend server", "% over the mean", func(r *Result) float64 { return 100 * (r.Imbalance - 1) }},
 }
 
-// Plots writes a bar chart for each quantity at each site.
+// Plots writes the bar charts of each site to the directory dir.
 func Plots(dir string, results []Result) error {
 	for i := range Sites {
 		for _, f := range figures {
@@ -112,9 +121,9 @@
 	p.X.Tick.Label.XAlign = -0.9
 	for i, policy := range Policies {
 		values := make(plotter.Values, 0, len(Scenarios))
-		for k := range results {
-			if results[k].Policy == policy.Name && results[k].Site == site {
-				values = append(values, f.value(&results[k]))
+		for j := range results {
+			if results[j].Policy == policy.Name && results[j].Site == site {
+				values = append(values, f.value(&results[j]))
 			}
 		}
 		bars, err := plotter.NewBarChart(values, barWidth)
@@ -128,6 +137,6 @@
 		p.Legend.Add(policy.Name, bars)
 	}
 	// Leave room for the legend above the bars.
-	p.Y.Max *= legendRoom
+	p.Y.Max *= legendFactor
 	return p.Save(plotWidth, plotHeight, file)
 }
--- a/emulator/experiment/run.go
+++ b/emulator/experiment/run.go
@@ -13,67 +13,72 @@
 	"catkinrail.example/catkinrail/fake"
 )
 
-// Result is what one run gave.
+// Result holds the measurements of a run. An imbalance is the maximum over the mean
+// number of flows on the active backend servers of the site's first service.
 type Result struct {
 	Site, Policy, Scenario string
 	Planned                bool
 	Flows                  int
-	Broken                 int
-	// Imbalance is the maximum over the mean, by backend server, of the flows
-	// that were opened in the second half of the minute after the change, and
-	// Early of those in the first half.
-	Imbalance, Early float64
-	// Held is the same of all flows at the end of the run, BySlot the same by
-	// slot, and During the largest of all flows while the change went on.
-	Held, BySlot, During float64
-	// Relayed is the share of packets that went through another instance.
-	Relayed float64
-	// ControlBytes is the number of control bytes a node a second.
+	// Broken counts flows that broke, failed to open or are stuck at the end.
+	Broken int
+	// Imbalance is that of the flows opened in the second half of newFlowWindow,
+	// which begins with the change, and EarlyImbalance of those opened in the first
+	// half, without its first 5 s.
+	Imbalance, EarlyImbalance float64
+	// HeldImbalance is that of all open flows at the end of the run, SlotImbalance
+	// the same by slot, and DuringImbalance the maximum by backend server from the
+	// change to the end of the run.
+	HeldImbalance, SlotImbalance, DuringImbalance float64
+	// RelayedShare is the number of relays over the number of callers' packets.
+	RelayedShare float64
+	// ControlBytes is the number of control bytes per second and entry instance.
 	ControlBytes float64
-	// Records is the largest number of records that an instance held.
-	Records int
-	// Late counts new flows on a leaving backend server after 5 s.
-	Late   int
+	// MaxRecords is the maximum number of records that an instance held.
+	MaxRecords int
+	// LateFlows is fake.Stats.LateFlows.
+	LateFlows int
+	// Causes says what broke some of the flows.
 	Causes []string
 }
 
-// Run runs one scenario.
+// Run runs a scenario at a site with a policy. The numbers of flows are divided by
+// scale.
 func Run(site *Site, p Policy, sc *Scenario, seed uint64, scale int) Result {
-	l := newLab(site, p, seed, scale)
-	l.Run(3 * time.Second)
-	l.fill()
+	sim := newSimulation(site, p, seed, scale)
+	sim.Run(3 * time.Second)
+	sim.openFlows()
 	r := Result{Site: site.Name, Policy: p.Name, Scenario: sc.Name, Planned: sc.Planned}
-	l.At(changeAt, func() { sc.run(l) })
+	sim.At(changeAt, func() { sc.run(sim) })
 	for at := changeAt; at <= endAt; at += sampleInterval {
-		l.Run(at)
-		server, slot := l.imbalance()
-		r.During = max(r.During, server)
-		r.Held, r.BySlot = server, slot
-		for _, e := range l.Entries {
+		sim.Run(at)
+		server, slot := sim.imbalance()
+		r.DuringImbalance = max(r.DuringImbalance, server)
+		r.HeldImbalance, r.SlotImbalance = server, slot
+		for _, e := range sim.Entries {
 			if !e.Dead {
-				r.Records = max(r.Records, e.Engine.Records())
+				r.MaxRecords = max(r.MaxRecords, e.Engine.Records())
 			}
 		}
 	}
-	r.Early = l.newImbalance(changeAt+minute/12, changeAt+minute/2)
-	r.Imbalance = l.newImbalance(changeAt+minute/2, changeAt+minute)
-	r.Flows = len(l.Flows)
-	r.Broken = l.Count(fake.Broken) + l.Count(fake.Failed) + len(l.Stuck(stuckAge))
-	r.Relayed = float64(l.Stats.Relayed) / float64(max(l.Stats.Packets, 1))
-	r.ControlBytes = float64(l.Stats.ControlBytes) / float64(site.Entries) / endAt.Seconds()
-	r.Late = l.Stats.LateFlows
-	r.Causes = l.Causes(3)
+	r.EarlyImbalance = sim.newFlowImbalance(changeAt+newFlowWindow/12, changeAt+newFlowWindow/2)
+	r.Imbalance = sim.newFlowImbalance(changeAt+newFlowWindow/2, changeAt+newFlowWindow)
+	r.Flows = len(sim.Flows)
+	r.Broken = sim.Count(fake.Broken) + sim.Count(fake.Failed) + len(sim.Stuck(stuckAge))
+	r.RelayedShare = float64(sim.Stats.Relayed) / float64(max(sim.Stats.Packets, 1))
+	r.ControlBytes = float64(sim.Stats.ControlBytes) / float64(site.Entries) / endAt.Seconds()
+	r.LateFlows = sim.Stats.LateFlows
+	r.Causes = sim.Causes(3)
 	return r
 }
 
 // imbalance returns the maximum over the mean of flows on the active backend
 // servers of the first service, by server and by slot.
-func (l *lab) imbalance() (server, slot float64) {
-	name := l.site.Services[0].Name
-	svc := l.State.ServiceByName(name)
+func (sim *simulation) imbalance() (server, slot float64) {
+	name := sim.site.Services[0].Name
+	svc := sim.State.ServiceByName(name)
 	var byServer, bySlot []int
-	for _, s := range l.servers[name] {
-		b := l.State.BackendByName(svc.ID, s.Name)
+	for _, s := range sim.servers[name] {
+		b := sim.State.BackendByName(svc.ID, s.Name)
 		if b.State != catkinrail.BackendActive {
 			continue
 		}
@@ -84,35 +89,37 @@
 		}
 		byServer = append(byServer, sum)
 	}
-	return excess(byServer), excess(bySlot)
+	return maxOverMean(byServer), maxOverMean(bySlot)
 }
 
 const (
-	minute = time.Minute
+	// newFlowWindow is the time from the change in which new flows are counted.
+	newFlowWindow = time.Minute
 	// stuckAge is how long a caller may wait for an answer at the end of a run; a
 	// flow that waits longer counts as broken.
 	stuckAge = 15 * time.Second
 )
 
-// newImbalance returns the maximum over the mean, by active backend server of the
-// first service, of the flows that were opened in a span.
-func (l *lab) newImbalance(from, to time.Duration) float64 {
-	svc := l.State.ServiceByName(l.site.Services[0].Name)
-	counts := map[catkinrail.BackendID]int{}
-	for _, b := range l.State.BackendsOf(svc.ID) {
+// newFlowImbalance returns the maximum over the mean, by active backend server of
+// the first service, of the flows opened between two times.
+func (sim *simulation) newFlowImbalance(from, to time.Duration) float64 {
+	svc := sim.State.ServiceByName(sim.site.Services[0].Name)
+	flows := map[catkinrail.BackendID]int{}
+	for _, b := range sim.State.BackendsOf(svc.ID) {
 		if b.State == catkinrail.BackendActive {
-			counts[b.ID] = 0
+			flows[b.ID] = 0
 		}
 	}
-	for _, f := range l.Flows {
-		if _, ok := counts[f.Server.Backend()]; ok && f.Opened > from && f.Opened < to {
-			counts[f.Server.Backend()]++
+	for _, f := range sim.Flows {
+		if _, ok := flows[f.Server.Backend()]; ok && f.Opened > from && f.Opened < to {
+			flows[f.Server.Backend()]++
 		}
 	}
-	return excess(slices.Collect(maps.Values(counts)))
+	return maxOverMean(slices.Collect(maps.Values(flows)))
 }
 
-func excess(counts []int) float64 {
+// maxOverMean returns the maximum over the mean of counts, or 0 if all are 0.
+func maxOverMean(counts []int) float64 {
 	sum := 0
 	for _, n := range counts {
 		sum += n
@@ -123,7 +130,7 @@
 	return float64(slices.Max(counts)) * float64(len(counts)) / float64(sum)
 }
 
-// job is a run to make.
+// job describes a run.
 type job struct {
 	site     *Site
 	policy   Policy
@@ -131,16 +138,16 @@
 	scale    int
 }
 
-// All runs every policy against every scenario at every site. The flows of the
-// baselines are divided by baselineScale. If ctx ends, no further run begins and
-// its error is returned.
-func All(ctx context.Context, seed uint64, scale, baselineScale int) ([]Result, error) {
+// RunAll runs every scenario with every policy at every site, several at a time. The
+// numbers of flows are divided by scale, those of baselines by baselineScale. If ctx
+// ends, no further run starts and RunAll returns its error.
+func RunAll(ctx context.Context, seed uint64, scale, baselineScale int) ([]Result, error) {
 	var jobs []job
 	for i := range Sites {
 		for _, p := range Policies {
 			for k := range Scenarios {
 				j := job{&Sites[i], p, &Scenarios[k], baselineScale}
-				if p.Main {
+				if p.Selectable {
 					j.scale = scale
 				}
 				jobs = append(jobs, j)
--- a/emulator/experiment/scenario.go
+++ b/emulator/experiment/scenario.go
@@ -1,5 +1,5 @@
-// Package experiment runs routing policies against scenarios on a simulated
-// network and reports what broke, how even the load was and what it cost.
+// Package experiment runs scenarios with several routing policies on a simulated
+// network, and reports broken flows, imbalance and cost.
 package experiment
 
 import (
@@ -13,23 +13,25 @@
 
 // Timing of a run.
 const (
-	// fillTime is the time over which the flows begin.
-	fillTime = 20 * time.Second
-	// changeAt is when a scenario begins.
+	// openTime is the time over which the long flows open.
+	openTime = 20 * time.Second
+	// changeAt is when a scenario's change begins.
 	changeAt = 30 * time.Second
-	endAt    = 95 * time.Second
-	// period is the time between two packets of a flow.
-	period = 12 * time.Second
-	// shortLife is the life of a short flow.
-	shortLife = 25 * time.Second
-	// shortPercent is the share of flows that are short.
-	shortPercent   = 30
+	// endAt is when a run ends.
+	endAt = 95 * time.Second
+	// packetInterval is the time between two packets of a flow.
+	packetInterval = 12 * time.Second
+	// shortFlowDuration is how long a short flow stays open.
+	shortFlowDuration = 25 * time.Second
+	// shortFlowPercent is the share of flows that are short.
+	shortFlowPercent = 30
+	// sampleInterval is the time between two samples of imbalance and records.
 	sampleInterval = 5 * time.Second
-	// rejoinGap is the time between two restarts of a rolling restart.
-	rejoinGap = 3 * time.Second
+	// restartInterval is the time between two restarts of a rolling restart.
+	restartInterval = 3 * time.Second
 )
 
-// Site is a user's deployment.
+// Site is a deployment: zones, entry instances and services.
 type Site struct {
 	Name     string
 	Zones    []catkinrail.Zone
@@ -39,12 +41,13 @@
 
 // ServiceSize describes a service of a site.
 type ServiceSize struct {
-	Name                  string
-	Hosts, Slots, PerSlot int
-	Buckets               int
+	Name string
+	// Servers is the number of backend servers, and Slots that of each one's slots.
+	Servers, Slots, FlowsPerSlot int
+	Buckets                      int
 }
 
-// Sites are the users' deployments of today.
+// Sites are the users' present deployments.
 var Sites = []Site{
 	{
 		Name: "kerala", Zones: []catkinrail.Zone{"kochi", "alappuzha", "kollam", "ponnani"}, Entries: 16,
@@ -56,17 +59,19 @@
 	},
 }
 
-// Policy is a way of routing.
+// Policy is a routing policy to compare.
 type Policy struct {
 	Name    string
 	Kind    fake.Policy
 	Balance catkinrail.Balance
 	Copies  int
-	// Main is set for what services can choose; the others are baselines.
-	Main bool
+	// Selectable is set for policies that a service can select; the others are
+	// baselines.
+	Selectable bool
 }
 
-// Policies lists the policies; the first one is the chosen one.
+// Policies lists the policies. The first one is the default of TCP services, on
+// which Summarize reports.
 var Policies = []Policy{
 	{"chosen", fake.Chosen, catkinrail.BalanceHashed, 3, true},
 	{"chosen-2-copies", fake.Chosen, catkinrail.BalanceHashed, 2, false},
@@ -77,114 +82,122 @@
 	{"hash-only", fake.HashOnly, catkinrail.BalanceHashed, 3, false},
 }
 
-// lab is a site that runs.
-type lab struct {
+// simulation is a running simulation of a site.
+type simulation struct {
 	*fake.Net
 	site    *Site
 	entries []*fake.Entry
 	servers map[string][]*fake.Server
-	scale   int
+	// scale divides the numbers of flows.
+	scale int
 }
 
-// Scenario is what happens in a run.
+// Scenario is a change or failure during a run.
 type Scenario struct {
 	Name string
-	// Planned is set if operators planned all that happens.
+	// Planned is set if the scenario consists of operators' planned changes only.
 	Planned bool
-	run     func(l *lab)
+	// run starts the scenario.
+	run func(sim *simulation)
 }
 
 // Scenarios lists the scenarios.
 var Scenarios = []Scenario{
-	{"steady", true, func(*lab) {}},
-	{"server-added", true, func(l *lab) { l.addServer(0) }},
-	{"server-drained", true, func(l *lab) { l.first(0).Drain() }},
-	{"server-replaced", true, func(l *lab) { l.addServer(0); l.first(0).Drain() }},
-	{"entry-joined", true, func(l *lab) { l.join() }},
-	{"rolling-restart", true, func(l *lab) { l.addServer(0); l.rollingRestart() }},
-	{"flash-crowd", true, func(l *lab) { l.addServer(0); l.crowd() }},
-	{"entry-lost", false, func(l *lab) { l.addServer(0); l.At(l.Now()+4*time.Second, l.entries[0].Kill) }},
-	{"second-entry-lost", false, func(l *lab) {
-		l.addServer(0)
-		l.At(l.Now()+4*time.Second, l.entries[0].Kill)
-		l.At(l.Now()+9*time.Second, l.entries[1].Kill)
+	{"steady", true, func(*simulation) {}},
+	{"server-added", true, func(sim *simulation) { sim.addServer(0) }},
+	{"server-drained", true, func(sim *simulation) { sim.firstServer(0).Drain() }},
+	{"server-replaced", true, func(sim *simulation) { sim.addServer(0); sim.firstServer(0).Drain() }},
+	{"entry-joined", true, func(sim *simulation) { sim.addEntry() }},
+	{"rolling-restart", true, func(sim *simulation) { sim.addServer(0); sim.rollingRestart() }},
+	{"flash-crowd", true, func(sim *simulation) { sim.addServer(0); sim.openFlashCrowd() }},
+	{"entry-lost", false, func(sim *simulation) { sim.addServer(0); sim.At(sim.Now()+4*time.Second, sim.entries[0].Kill) }},
+	{"second-entry-lost", false, func(sim *simulation) {
+		sim.addServer(0)
+		sim.At(sim.Now()+4*time.Second, sim.entries[0].Kill)
+		sim.At(sim.Now()+9*time.Second, sim.entries[1].Kill)
 	}},
-	{"both-at-once", false, func(l *lab) { l.first(0).Drain(); l.addServer(0); l.entries[0].Kill() }},
-	{"zone-cut", false, func(l *lab) {
-		l.first(1).Drain()
-		z := l.site.Zones[0]
-		l.At(l.Now()+4*time.Second, func() { l.CutZone(z) })
-		l.At(l.Now()+14*time.Second, func() { l.HealZone(z) })
+	{"both-at-once", false, func(sim *simulation) { sim.firstServer(0).Drain(); sim.addServer(0); sim.entries[0].Kill() }},
+	{"zone-cut", false, func(sim *simulation) {
+		sim.firstServer(1).Drain()
+		z := sim.site.Zones[0]
+		sim.At(sim.Now()+4*time.Second, func() { sim.CutZone(z) })
+		sim.At(sim.Now()+14*time.Second, func() { sim.HealZone(z) })
 	}},
 }
 
-func newLab(site *Site, p Policy, seed uint64, scale int) *lab {
-	l := &lab{site: site, servers: map[string][]*fake.Server{}, scale: scale}
-	l.Net = fake.New(fake.Config{
+// newSimulation returns a simulation with the site's services, entry instances and
+// backend servers, but no flows.
+func newSimulation(site *Site, p Policy, seed uint64, scale int) *simulation {
+	sim := &simulation{site: site, servers: map[string][]*fake.Server{}, scale: scale}
+	sim.Net = fake.New(fake.Config{
 		Seed: seed, Policy: p.Kind, Copies: p.Copies, Loss: 0.002, Spread: time.Second,
 	})
 	for i, s := range site.Services {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{192, 0, 2, byte(i + 1)}), 443)
-		l.CreateService(catkinrail.ServiceConfig{Name: s.Name, Addr: addr, Balance: p.Balance, Buckets: s.Buckets})
+		sim.CreateService(catkinrail.ServiceConfig{Name: s.Name, Addr: addr, Balance: p.Balance, Buckets: s.Buckets})
 	}
 	for i := range site.Entries {
-		l.entries = append(l.entries, l.AddEntry(fmt.Sprintf("entry-%d", i), site.Zones[i%len(site.Zones)]))
+		sim.entries = append(sim.entries, sim.AddEntry(fmt.Sprintf("entry-%d", i), site.Zones[i%len(site.Zones)]))
 	}
 	for i := range site.Services {
-		for range site.Services[i].Hosts {
-			l.addServer(i)
+		for range site.Services[i].Servers {
+			sim.addServer(i)
 		}
 	}
-	return l
+	return sim
 }
 
-// first returns the first backend server of the n-th service.
-func (l *lab) first(n int) *fake.Server {
-	return l.servers[l.site.Services[n].Name][0]
+// firstServer returns the first backend server of the n-th service.
+func (sim *simulation) firstServer(n int) *fake.Server {
+	return sim.servers[sim.site.Services[n].Name][0]
 }
 
-func (l *lab) addServer(n int) {
-	s := &l.site.Services[n]
-	i := len(l.servers[s.Name])
+// addServer adds a backend server to the n-th service.
+func (sim *simulation) addServer(n int) {
+	s := &sim.site.Services[n]
+	i := len(sim.servers[s.Name])
 	name := fmt.Sprintf("%s-%d", s.Name, i)
-	l.servers[s.Name] = append(l.servers[s.Name], l.AddServer(s.Name, name, l.site.Zones[i%len(l.site.Zones)], s.Slots))
+	sim.servers[s.Name] = append(sim.servers[s.Name], sim.AddServer(s.Name, name, sim.site.Zones[i%len(sim.site.Zones)], s.Slots))
 }
 
-func (l *lab) join() {
-	l.entries = append(l.entries, l.AddEntry(fmt.Sprintf("entry-%d", len(l.entries)), l.site.Zones[0]))
+// addEntry adds an entry instance in the first zone.
+func (sim *simulation) addEntry() {
+	sim.entries = append(sim.entries, sim.AddEntry(fmt.Sprintf("entry-%d", len(sim.entries)), sim.site.Zones[0]))
 }
 
-// rollingRestart replaces every entry instance, one after the other.
-func (l *lab) rollingRestart() {
-	for i, e := range l.entries {
-		l.At(l.Now()+rejoinGap*time.Duration(i), func() {
-			l.AddEntry(fmt.Sprintf("entry-%d-again", i), e.Zone)
+// rollingRestart replaces the entry instances one by one.
+func (sim *simulation) rollingRestart() {
+	for i, e := range sim.entries {
+		sim.At(sim.Now()+restartInterval*time.Duration(i), func() {
+			sim.AddEntry(fmt.Sprintf("entry-%d-again", i), e.Zone)
 			e.Leave()
 		})
 	}
 }
 
-// crowd opens as many flows again as there are, within a few seconds.
-func (l *lab) crowd() {
-	for _, s := range l.site.Services {
-		l.OpenMany(s.Name, l.flows(&s), 8*time.Second, period, shortLife)
+// openFlashCrowd opens the site's number of flows once more, as short flows, within
+// a few seconds.
+func (sim *simulation) openFlashCrowd() {
+	for _, s := range sim.site.Services {
+		sim.OpenMany(s.Name, sim.numFlows(&s), 8*time.Second, packetInterval, shortFlowDuration)
 	}
 }
 
-func (l *lab) flows(s *ServiceSize) int {
-	return s.Hosts * s.Slots * s.PerSlot / l.scale
+// numFlows returns the number of flows of a service at a time.
+func (sim *simulation) numFlows(s *ServiceSize) int {
+	return s.Servers * s.Slots * s.FlowsPerSlot / sim.scale
 }
 
-// fill opens the flows: most last, the others end and are replaced.
-func (l *lab) fill() {
-	for _, s := range l.site.Services {
-		n := l.flows(&s)
-		short := n * shortPercent / 100
-		l.OpenMany(s.Name, n-short, fillTime, period, 0)
-		renewals := int(endAt / shortLife)
-		for i := range renewals {
-			l.At(shortLife*time.Duration(i), func() {
-				l.OpenMany(s.Name, short, shortLife, period, shortLife)
+// openFlows opens the flows: most stay open, the short ones end and are replaced.
+func (sim *simulation) openFlows() {
+	for _, s := range sim.site.Services {
+		n := sim.numFlows(&s)
+		short := n * shortFlowPercent / 100
+		sim.OpenMany(s.Name, n-short, openTime, packetInterval, 0)
+		rounds := int(endAt / shortFlowDuration)
+		for i := range rounds {
+			sim.At(shortFlowDuration*time.Duration(i), func() {
+				sim.OpenMany(s.Name, short, shortFlowDuration, packetInterval, shortFlowDuration)
 			})
 		}
 	}
