--- a/emulator/bench/forward.go
+++ b/emulator/bench/forward.go
@@ -24,50 +24,53 @@
 	senders     = 2
 	benchFlows  = 4096
 	payloadSize = 200
-	// warmTime is not counted, runTime is.
-	warmTime = 300 * time.Millisecond
-	runTime  = 1500 * time.Millisecond
-	pairs    = 5
+	// warmUpTime comes before measureTime and is not measured.
+	warmUpTime  = 300 * time.Millisecond
+	measureTime = 1500 * time.Millisecond
+	// numPairs is the number of measurements of each forwarder, in alternation.
+	numPairs = 5
 )
 
-// Forwarding is what was measured of forwarding.
+// Forwarding holds the measurements of forwarding.
 type Forwarding struct {
-	// Entry and Bare are packets a second of the entry instance and of the bare
-	// forwarder, medians of several runs in turn.
+	// Entry and Bare are the median packets per second of the entry instance and of
+	// the bare forwarder.
 	Entry, Bare float64
-	// Ratio is the median of the ratios of the pairs.
+	// Ratio is the median ratio of Entry to Bare in a pair of measurements.
 	Ratio float64
 }
 
-// forwarder forwards what comes in to one address, and counts it.
+// forwarder forwards the datagrams from in to one address, and adds their number to
+// handled, until ctx ends.
 type forwarder func(ctx context.Context, in *udp.Conn, to netip.AddrPort, handled *atomic.Int64) error
 
-// load is what a forwarder is measured with.
+// load is a forwarder and the packets to measure it with.
 type load struct {
 	forward forwarder
-	// packet returns the i-th flow's packet.
+	// packet returns a packet of the i-th flow.
 	packet func(i int) []byte
 }
 
-// MeasureForwarding measures one worker of the entry instance and one bare
-// forwarder in turn, each on one thread, under the same load of IP in UDP.
+// MeasureForwarding measures a worker of the entry instance and a bare forwarder
+// in alternation, each on one thread, with the same packets as IP in UDP.
 func MeasureForwarding(ctx context.Context) (Forwarding, error) {
-	return measurePairs(ctx, load{forward: runEntry, packet: ipPacket})
+	return measurePairs(ctx, load{forward: forwardByEntry, packet: ipPacket})
 }
 
-// MeasureTokenForwarding is MeasureForwarding for packets with a routing token.
+// MeasureTokenForwarding is like MeasureForwarding for packets with a routing token.
 func MeasureTokenForwarding(ctx context.Context) (Forwarding, error) {
-	return measurePairs(ctx, load{forward: runToken, packet: tokenPacket})
+	return measurePairs(ctx, load{forward: forwardByToken, packet: tokenPacket})
 }
 
+// measurePairs measures the load's forwarder and the bare one in alternation.
 func measurePairs(ctx context.Context, l load) (Forwarding, error) {
 	var entries, bares, ratios []float64
-	for range pairs {
+	for range numPairs {
 		e, err := forwardRate(ctx, l)
 		if err != nil {
 			return Forwarding{}, err
 		}
-		b, err := forwardRate(ctx, load{forward: runBare, packet: l.packet})
+		b, err := forwardRate(ctx, load{forward: forwardBare, packet: l.packet})
 		if err != nil {
 			return Forwarding{}, err
 		}
@@ -81,7 +84,7 @@
 	return list[len(list)/2]
 }
 
-// forwardRate returns the packets a second that reach the sink.
+// forwardRate returns the packets per second that the forwarder handles.
 func forwardRate(ctx context.Context, l load) (float64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -103,28 +106,28 @@
 		return l.forward(ctx, in, sink.LocalAddr(), &handled)
 	})
 	for i := range senders {
-		g.Go(func() error { return send(ctx, in.LocalAddr(), l.packet, i) })
+		g.Go(func() error { return sendLoop(ctx, in.LocalAddr(), l.packet, i) })
 	}
-	clock.Sleep(ctx, warmTime)
+	clock.Sleep(ctx, warmUpTime)
 	before, began := handled.Load(), time.Now()
-	clock.Sleep(ctx, runTime)
+	clock.Sleep(ctx, measureTime)
 	rate := float64(handled.Load()-before) / time.Since(began).Seconds()
 	cancel()
 	return rate, g.Wait()
 }
 
-// runEntry forwards as the daemon does.
-func runEntry(ctx context.Context, in *udp.Conn, to netip.AddrPort, handled *atomic.Int64) error {
+// forwardByEntry forwards as catkinrail-entry does in bucket mode.
+func forwardByEntry(ctx context.Context, in *udp.Conn, to netip.AddrPort, handled *atomic.Int64) error {
 	e := newEngine(false, func(int, int) netip.AddrPort { return to })
 	clk := clock.New()
 	e.SetLease(clk.Nanos() + int64(time.Hour))
 	w := fabric.New(e, clk, in, relay.Key{}, fabric.NewStats(metrics.NewRegistry()), false)
-	return loop(ctx, in, handled, w.Batch)
+	return readLoop(ctx, in, handled, w.Batch)
 }
 
-// runBare forwards every datagram to one address.
-func runBare(ctx context.Context, in *udp.Conn, to netip.AddrPort, handled *atomic.Int64) error {
-	return loop(ctx, in, handled, func(n int) {
+// forwardBare forwards every datagram to one address.
+func forwardBare(ctx context.Context, in *udp.Conn, to netip.AddrPort, handled *atomic.Int64) error {
+	return readLoop(ctx, in, handled, func(n int) {
 		for i := range n {
 			b, _ := in.Datagram(i)
 			in.Queue(to, b)
@@ -133,8 +136,9 @@
 	})
 }
 
-// loop reads batches until ctx ends.
-func loop(ctx context.Context, in *udp.Conn, handled *atomic.Int64, batch func(n int)) error {
+// readLoop reads batches of datagrams, passes the size of each to batch and adds it
+// to handled, until ctx ends.
+func readLoop(ctx context.Context, in *udp.Conn, handled *atomic.Int64, batch func(n int)) error {
 	stop := context.AfterFunc(ctx, func() { in.Close() })
 	defer stop()
 	for {
@@ -150,12 +154,13 @@
 	}
 }
 
+// discard reads and drops datagrams until ctx ends.
 func discard(ctx context.Context, sink *udp.Conn) error {
-	return loop(ctx, sink, &atomic.Int64{}, func(int) {})
+	return readLoop(ctx, sink, &atomic.Int64{}, func(int) {})
 }
 
-// send sends packets of many flows as fast as it can until ctx ends.
-func send(ctx context.Context, to netip.AddrPort, packet func(i int) []byte, worker int) error {
+// sendLoop sends packets of benchFlows flows as fast as it can until ctx ends.
+func sendLoop(ctx context.Context, to netip.AddrPort, packet func(i int) []byte, worker int) error {
 	conn, err := udp.Listen(ctx, netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
 		return err
@@ -171,6 +176,7 @@
 	return nil
 }
 
+// ipPacket returns a TCP packet of the i-th flow.
 func ipPacket(i int) []byte {
 	h := ip.Header{}
 	setFlow(&h, i)
--- a/emulator/bench/state.go
+++ b/emulator/bench/state.go
@@ -12,7 +12,7 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-// Sizes of the state that is measured.
+// Sizes of the state for MeasureState.
 const (
 	stateServices = 100
 	stateBuckets  = 4096
@@ -20,16 +20,17 @@
 	recordFlows   = 500_000
 )
 
-// State is what was measured of an entry instance's state.
+// State holds the measurements of an entry instance's state.
 type State struct {
-	// RecordBytes is the memory of a flow record.
+	// RecordBytes is the memory per flow record.
 	RecordBytes float64
-	// BucketBytes is the memory of a bucket.
+	// BucketBytes is the memory per bucket.
 	BucketBytes float64
-	// BucketNanos is the time that a new version takes for each bucket.
+	// BucketNanos is the time, in nanoseconds, that a new version takes per bucket.
 	BucketNanos float64
 }
 
+// heapBytes returns the size of the live heap in bytes.
 func heapBytes() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -37,8 +38,8 @@
 	return float64(m.HeapAlloc)
 }
 
-// MeasureState measures memory by record and bucket, and the time that a new
-// version takes.
+// MeasureState measures the memory per record and per bucket, and the time that a
+// new version takes per bucket.
 func MeasureState() State {
 	var s State
 	e := newEngine(true, func(server, slot int) netip.AddrPort {
@@ -65,7 +66,8 @@
 	return s
 }
 
-// largeState returns a state with many settled buckets.
+// largeState returns a state with stateServices services of stateBuckets settled
+// buckets each.
 func largeState() *cluster.State {
 	s := cluster.New()
 	var events []cluster.Event
--- a/emulator/bench/token.go
+++ b/emulator/bench/token.go
@@ -20,15 +20,15 @@
 	"catkinrail.example/catkinrail/transport/udp"
 )
 
-// newTokenEngine returns an engine with one service, whose backend servers are
-// all at one address.
+// newTokenEngine returns an engine with one service, whose backend servers all have
+// the address to.
 func newTokenEngine(at int64, to netip.AddrPort) *token.Engine {
 	e := token.New("a", 1)
 	e.SetDocument(&catkinrail.Document{Version: 1, Services: []string{"bench"}, Routes: []catkinrail.Route{{
 		Name: "bench", Listen: serviceAddr, Targets: []catkinrail.Target{{Service: "bench", Weight: 1}},
 	}}})
 	var list []token.FollowedBackend
-	for i := range servers {
+	for i := range numServers {
 		list = append(list, token.FollowedBackend{Incarnation: catkinrail.Incarnation{
 			Name: "host-" + string(rune('a'+i)), Identity: uint64(i + 1), StartedAt: 1, Service: "bench", Slots: slotsPerServer, Zone: "a", Addr: to,
 		}})
@@ -38,7 +38,7 @@
 	return e
 }
 
-// MeasureTokenDecision measures decisions about later packets of so many flows.
+// MeasureTokenDecision measures decisions about packets with a token.
 func MeasureTokenDecision(flows int) Decision {
 	e := newTokenEngine(now, netip.MustParseAddrPort("127.0.0.1:80"))
 	p := catkinrail.TokenPacket{Flow: catkinrail.FlowKey{
@@ -46,42 +46,43 @@
 	}}
 	round := func() float64 {
 		began := time.Now()
-		for i := range decisions {
+		for i := range decisionsPerRound {
 			n := i % flows
 			p.Flow.Src[13], p.Flow.Src[14], p.Flow.SrcPort = byte(n>>16), byte(n>>8), uint16(n)
-			p.Token = catkinrail.Token(1 + n%servers)
+			p.Token = catkinrail.Token(1 + n%numServers)
 			if v := e.Decide(&p, now); v.Action != token.Forward {
 				panic("packet was not forwarded: " + v.Reason.String())
 			}
 		}
-		return float64(time.Since(began).Nanoseconds()) / decisions
+		return float64(time.Since(began).Nanoseconds()) / decisionsPerRound
 	}
-	// The first round remembers the flows.
+	// The first round lets the engine track the flows; it isn't measured.
 	round()
 	var times []float64
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	for range rounds {
+	for range numRounds {
 		times = append(times, round())
 	}
 	runtime.ReadMemStats(&after)
 	slices.Sort(times)
 	return Decision{
-		Nanos:  times[rounds/2],
-		Allocs: float64(int((after.Mallocs-before.Mallocs)*100/(rounds*decisions))) / 100,
+		Nanoseconds: times[numRounds/2],
+		Allocs:      float64(int((after.Mallocs-before.Mallocs)*100/(numRounds*decisionsPerRound))) / 100,
 	}
 }
 
-// runToken forwards as the daemon does.
-func runToken(ctx context.Context, in *udp.Conn, to netip.AddrPort, handled *atomic.Int64) error {
+// forwardByToken forwards as catkinrail-entry does on the platform.
+func forwardByToken(ctx context.Context, in *udp.Conn, to netip.AddrPort, handled *atomic.Int64) error {
 	clk := clock.New()
 	r := packet.NewRouter(newTokenEngine(clk.Nanos(), to), clk)
 	w := packet.New(r, in, platform.Packets{}, clk, logs.Discard(), metrics.NewRegistry())
-	return loop(ctx, in, handled, w.Batch)
+	return readLoop(ctx, in, handled, w.Batch)
 }
 
+// tokenPacket returns a packet with a token of the i-th flow.
 func tokenPacket(i int) []byte {
 	src := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(i >> 16), byte(i >> 8)}), uint16(i))
-	return standin.DataPacket(src, serviceAddr, uint32(1+i%servers), make([]byte, payloadSize))
+	return standin.DataPacket(src, serviceAddr, uint32(1+i%numServers), make([]byte, payloadSize))
 }
--- a/emulator/cmd/catkinrail-emulator/bench.go
+++ b/emulator/cmd/catkinrail-emulator/bench.go
@@ -9,9 +9,9 @@
 	"catkinrail.example/catkinrail/emulator/bench"
 )
 
-// benchCommand measures the entry instance's speed.
+// benchCommand measures the speed and memory of an entry instance.
 func benchCommand(app *kingpin.Application) command {
-	c := app.Command("bench", "Measure the decision, and forwarding against a bare forwarder.")
+	c := app.Command("bench", "Measure routing decisions, and forwarding compared with a bare forwarder.")
 	return command{clause: c, run: func(ctx context.Context) error {
 		sizes := []int{1_000, 100_000, 1_000_000}
 		var settled, moving []bench.Decision
@@ -20,7 +20,7 @@
 			m := bench.MeasureDecision(n, true)
 			settled, moving = append(settled, s), append(moving, m)
 			fmt.Printf("%9d flows: settled %6.1f ns, %.2f allocations; moving %6.1f ns, %.2f allocations\n",
-				n, s.Nanos, s.Allocs, m.Nanos, m.Allocs)
+				n, s.Nanoseconds, s.Allocs, m.Nanoseconds, m.Allocs)
 		}
 		state := bench.MeasureState()
 		fmt.Printf("record-bytes: %.0f\n", state.RecordBytes)
@@ -33,10 +33,10 @@
 		last := len(sizes) - 1
 		fmt.Printf("forwarding on one thread: entry %.0f, bare %.0f packets a second\n", f.Entry, f.Bare)
 		fmt.Printf("forwarding-ratio: %.3f\n", f.Ratio)
-		fmt.Printf("decision-settled-ns: %.1f\n", settled[last].Nanos)
-		fmt.Printf("decision-moving-ns: %.1f\n", moving[last].Nanos)
+		fmt.Printf("decision-settled-ns: %.1f\n", settled[last].Nanoseconds)
+		fmt.Printf("decision-moving-ns: %.1f\n", moving[last].Nanoseconds)
 		fmt.Printf("decision-allocs: %.2f\n", max(settled[last].Allocs, moving[last].Allocs))
-		fmt.Printf("decision-growth: %.3f\n", settled[last].Nanos/settled[0].Nanos)
+		fmt.Printf("decision-growth: %.3f\n", settled[last].Nanoseconds/settled[0].Nanoseconds)
 		return benchToken(ctx, sizes[last])
 	}}
 }
@@ -50,7 +50,7 @@
 	}
 	fmt.Printf("forwarding by token on one thread: entry %.0f, bare %.0f packets a second\n", f.Entry, f.Bare)
 	fmt.Printf("token-forwarding-ratio: %.3f\n", f.Ratio)
-	fmt.Printf("token-decision-ns: %.1f\n", d.Nanos)
+	fmt.Printf("token-decision-ns: %.1f\n", d.Nanoseconds)
 	fmt.Printf("token-decision-allocs: %.2f\n", d.Allocs)
 	return nil
 }
