--- a/emulator/capacity/capacity.go
+++ b/emulator/capacity/capacity.go
@@ -1,5 +1,5 @@
-// Package capacity works out what each role needs at the planned size from
-// slopes that were measured.
+// Package capacity computes the resources that each role needs at the planned size
+// from measured slopes: costs per instance, backend server, change or record.
 package capacity
 
 import (
@@ -29,12 +29,13 @@
 	RestartsDay   float64 `yaml:"restarts-day"`
 	SlotsServer   float64 `yaml:"slots-server"`
 	BucketsServer float64 `yaml:"buckets-server"`
-	// MovingShare is the share of buckets that move at a time.
+	// MovingShare is the share of buckets that move at a time, 0 to 1.
 	MovingShare float64 `yaml:"moving-share"`
-	Copies      float64 `yaml:"copies"`
+	// Copies is the number of instances that hold a record.
+	Copies float64 `yaml:"copies"`
 }
 
-// Slopes are measured; each names its command beside it in the file.
+// Slopes are measured costs. The slopes file names the command that measures each.
 type Slopes struct {
 	EntryBytes         float64 `yaml:"entry-bytes-second"`
 	AnnounceBytes      float64 `yaml:"announce-bytes-second"`
@@ -55,7 +56,8 @@
 	RecordCopyBytes    float64 `yaml:"record-copy-bytes"`
 }
 
-// Limits are the users' limits for control on a node.
+// Limits are the users' limits for control work on an entry instance, and for the
+// time until a change is in force everywhere.
 type Limits struct {
 	CorePercent float64 `yaml:"core-percent"`
 	Megabytes   float64 `yaml:"megabytes"`
@@ -75,56 +77,57 @@
 	daySeconds = 86400
 	bytesMB    = 1 << 20
 	bytesKB    = 1 << 10
-	// viewSteps is the number of views that one change of members takes.
+	// viewSteps is the number of views that a change of members takes.
 	viewSteps = 3
-	// moveSteps is the number of versions that one move takes.
+	// moveSteps is the number of versions that a move takes.
 	moveSteps = 3
 )
 
-// Row is a line of the table.
+// Row is a row of the capacity table.
 type Row struct {
 	Role, Quantity string
 	Value          float64
 	Unit           string
-	Limit          float64
-	From           string
+	// Limit is 0 if there is none.
+	Limit     float64
+	Mechanism string
 }
 
-// Rows works out the table.
+// Rows computes the rows of the table.
 func (s *Settings) Rows() []Row {
-	z, k := &s.Size, &s.Slopes
-	perNode := z.Servers / z.Entries
-	viewChanges := 2*z.RestartsDay + z.FailuresDay
-	viewBytes := viewChanges * viewSteps * k.ViewBytesMember * z.Entries / daySeconds
-	changeBytes := z.ChangesDay * k.ChangeBytes / daySeconds
-	copyBytes := viewChanges / daySeconds * z.Flows * z.MovingShare * z.Copies / z.Entries / z.Entries * k.RecordCopyBytes
-	versions := (z.ChangesDay*moveSteps + viewChanges*viewSteps) / daySeconds
-	buckets := z.Servers * z.BucketsServer
-	compile := versions * buckets * k.BucketCompileNanos / 1e9 * 100
-	records := z.Flows * z.MovingShare * z.Copies / z.Entries
-	entryMB := k.EntryMB + z.Servers*k.ServerKB/bytesKB
-	l := &s.Limits
+	size, slopes := &s.Size, &s.Slopes
+	serversPerEntry := size.Servers / size.Entries
+	viewChanges := 2*size.RestartsDay + size.FailuresDay
+	viewBytes := viewChanges * viewSteps * slopes.ViewBytesMember * size.Entries / daySeconds
+	changeBytes := size.ChangesDay * slopes.ChangeBytes / daySeconds
+	copyBytes := viewChanges / daySeconds * size.Flows * size.MovingShare * size.Copies / size.Entries / size.Entries * slopes.RecordCopyBytes
+	versions := (size.ChangesDay*moveSteps + viewChanges*viewSteps) / daySeconds
+	buckets := size.Servers * size.BucketsServer
+	compile := versions * buckets * slopes.BucketCompileNanos / 1e9 * 100
+	records := size.Flows * size.MovingShare * size.Copies / size.Entries
+	entryMB := slopes.EntryMB + size.Servers*slopes.ServerKB/bytesKB
+	limits := &s.Limits
 	return []Row{
-		{"entry", "heartbeats and announcements", k.EntryBytes + perNode*k.AnnounceBytes, "B/s", 0, "heartbeat that waits for changes"},
+		{"entry", "heartbeats and announcements", slopes.EntryBytes + serversPerEntry*slopes.AnnounceBytes, "B/s", 0, "heartbeat that waits for changes"},
 		{"entry", "views", viewBytes, "B/s", 0, "one view for all restarts of a moment"},
 		{"entry", "configuration changes", changeBytes, "B/s", 0, "moves travel, tables don't"},
 		{"entry", "copies of records", copyBytes, "B/s", 0, "copies of moving buckets only"},
-		{"entry", "control bytes, all", k.EntryBytes + perNode*k.AnnounceBytes + viewBytes + changeBytes + copyBytes, "B/s", l.BytesSecond, ""},
-		{"entry", "processor, heartbeats", k.EntryCore + perNode*k.AnnounceCore, "% core", 0, ""},
+		{"entry", "control bytes, all", slopes.EntryBytes + serversPerEntry*slopes.AnnounceBytes + viewBytes + changeBytes + copyBytes, "B/s", limits.BytesSecond, ""},
+		{"entry", "processor, heartbeats", slopes.EntryCore + serversPerEntry*slopes.AnnounceCore, "% core", 0, ""},
 		{"entry", "processor, new versions", compile, "% core", 0, "the whole table is compiled for each version"},
-		{"entry", "processor, all", k.EntryCore + perNode*k.AnnounceCore + compile, "% core", l.CorePercent, ""},
-		{"entry", "memory, configuration", entryMB, "MB", l.Megabytes, "two states and two tables at a time"},
+		{"entry", "processor, all", slopes.EntryCore + serversPerEntry*slopes.AnnounceCore + compile, "% core", limits.CorePercent, ""},
+		{"entry", "memory, configuration", entryMB, "MB", limits.Megabytes, "two states and two tables at a time"},
 		{"entry with records", "records", records, "records", 0, "records of moving buckets, three copies"},
-		{"entry with records", "memory, records", records * k.RecordBytes / bytesMB, "MB", 0, ""},
-		{"entry with records, all tracked", "memory, records", z.Flows * z.Copies / z.Entries * k.RecordBytes / bytesMB, "MB", 0, "every service tracked"},
-		{"entry with records", "new flows in moving buckets", z.NewFlows * z.MovingShare * z.Copies / z.Entries, "1/s", 0, "the record travels on the packet"},
-		{"control leader", "processor", k.LeaderCore + z.Entries*k.LeaderCoreEntry, "% core", 0, "all heartbeats meet at the leader"},
-		{"control leader", "heartbeats", z.Entries * 4, "1/s", 0, "one in 250 ms from each entry"},
-		{"control leader", "memory", k.LeaderMB + z.Entries*k.LeaderMBEntry + z.Servers*k.ServerKB/bytesKB, "MB", 0, ""},
+		{"entry with records", "memory, records", records * slopes.RecordBytes / bytesMB, "MB", 0, ""},
+		{"entry with records, all tracked", "memory, records", size.Flows * size.Copies / size.Entries * slopes.RecordBytes / bytesMB, "MB", 0, "every service tracked"},
+		{"entry with records", "new flows in moving buckets", size.NewFlows * size.MovingShare * size.Copies / size.Entries, "1/s", 0, "the record travels on the packet"},
+		{"control leader", "processor", slopes.LeaderCore + size.Entries*slopes.LeaderCoreEntry, "% core", 0, "all heartbeats meet at the leader"},
+		{"control leader", "heartbeats", size.Entries * 4, "1/s", 0, "one in 250 ms from each entry"},
+		{"control leader", "memory", slopes.LeaderMB + size.Entries*slopes.LeaderMBEntry + size.Servers*slopes.ServerKB/bytesKB, "MB", 0, ""},
 		{"control leader", "log entries", versions, "1/s", 0, "one write and sync for each"},
-		{"control follower", "log bytes", z.ChangesDay*k.ChangeBytes/daySeconds + viewBytes, "B/s", 0, "log to every voter"},
-		{"all", "a change in force everywhere", k.InForce + z.Entries*k.InForceEntry, "s", l.InForce, "heartbeats that wait"},
-		{"all", "a drain open everywhere", 2*(k.InForce+z.Entries*k.InForceEntry) + 1.5, "s", l.InForce, "prepare, 1.5 s, open"},
+		{"control follower", "log bytes", size.ChangesDay*slopes.ChangeBytes/daySeconds + viewBytes, "B/s", 0, "log to every voter"},
+		{"all", "a change in force everywhere", slopes.InForce + size.Entries*slopes.InForceEntry, "s", limits.InForce, "heartbeats that wait"},
+		{"all", "a drain open everywhere", 2*(slopes.InForce+size.Entries*slopes.InForceEntry) + 1.5, "s", limits.InForce, "prepare, 1.5 s, open"},
 	}
 }
 
@@ -140,6 +143,6 @@
 				limit += " **exceeded**"
 			}
 		}
-		fmt.Fprintf(w, "| %s | %s | %.3g %s | %s | %s |\n", r.Role, r.Quantity, r.Value, r.Unit, limit, r.From)
+		fmt.Fprintf(w, "| %s | %s | %.3g %s | %s | %s |\n", r.Role, r.Quantity, r.Value, r.Unit, limit, r.Mechanism)
 	}
 }
--- a/emulator/cmd/catkinrail-emulator/capacity.go
+++ b/emulator/cmd/catkinrail-emulator/capacity.go
@@ -10,10 +10,10 @@
 	"catkinrail.example/catkinrail/settings"
 )
 
-// capacityCommand works out the capacity table.
+// capacityCommand prints the capacity table.
 func capacityCommand(app *kingpin.Application) command {
-	c := app.Command("capacity", "Work out the capacity table from measured slopes.")
-	file := c.Flag("slopes", "File of the planned size and the slopes.").Default("docs/slopes.yaml").String()
+	c := app.Command("capacity", "Print the capacity table, computed from measured slopes.")
+	file := c.Flag("slopes", "File with the planned size, the slopes and the limits.").Default("docs/slopes.yaml").String()
 	return command{clause: c, run: func(context.Context) error {
 		var s capacity.Settings
 		if err := settings.Load(*file, &s); err != nil {
