--- a/emulator/cmd/catkinrail-emulator/control.go
+++ b/emulator/cmd/catkinrail-emulator/control.go
@@ -11,15 +11,15 @@
 	"catkinrail.example/catkinrail/emulator/control"
 )
 
-// controlCommand measures control instances that are running.
+// controlCommand measures running control instances.
 func controlCommand(app *kingpin.Application) command {
 	c := app.Command("control", "Measure running control instances with stand-in entry instances.")
 	peers := c.Flag("control", "Address of a control instance; repeat it for all.").Required().Strings()
-	pids := c.Flag("pid", "Process of a control instance; repeat it for all.").Ints()
-	entries := c.Flag("entries", "Stand-ins of a step; repeat it for several steps.").Default("12", "19", "100", "300").Ints()
-	servers := c.Flag("servers", "Backend servers of a step.").Default("36").Int()
-	services := c.Flag("services", "Services of a step.").Default("4").Int()
-	changes := c.Flag("changes", "Changes to make in a step.").Default("20").Int()
+	pids := c.Flag("pid", "Process ID of a control instance; repeat it for all.").Ints()
+	entries := c.Flag("entries", "Number of stand-in entry instances in a step; repeat it for several steps.").Default("12", "19", "100", "300").Ints()
+	servers := c.Flag("servers", "Number of backend servers in each step.").Default("36").Int()
+	services := c.Flag("services", "Number of services in each step.").Default("4").Int()
+	changes := c.Flag("changes", "Number of changes in each step.").Default("20").Int()
 	return command{clause: c, run: func(ctx context.Context) error {
 		var results []control.Result
 		for _, n := range *entries {
@@ -35,6 +35,7 @@
 	}}
 }
 
+// reportControl prints the results and the worst figures over all steps.
 func reportControl(results []control.Result) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "entries\tservices\tservers\tin force max\tmedian\tentry core\tentry MB\tentry B/s\tB/change\tleader core\tleader MB\t")
--- a/emulator/cmd/catkinrail-emulator/load.go
+++ b/emulator/cmd/catkinrail-emulator/load.go
@@ -20,18 +20,18 @@
 	"catkinrail.example/catkinrail/transport/udp"
 )
 
-// errBroken reports flows that did not get their whole answer.
-var errBroken = errors.New("some flows did not get their whole answer from one backend server")
+// errBrokenFlows reports that flows broke or did not finish.
+var errBrokenFlows = errors.New("some flows did not get complete answers from one backend server")
 
-// loadCommand runs callers and the fabric.
+// loadCommand runs callers and the fabric, and checks the answers.
 func loadCommand(app *kingpin.Application) command {
 	c := app.Command("load", "Run callers behind a fabric and check their answers.")
-	listen := c.Flag("callers", "Address that answers come to.").Required().String()
+	listen := c.Flag("callers", "Address on which callers receive answers.").Required().String()
 	entries := c.Flag("entry", "Packet and health addresses of an entry instance, joined by '='; repeat it for all.").Required().Strings()
 	flows := c.Flag("flows", "Flows to run, as service,address,protocol,flows,every,requests,chunks; repeat it for several.").Required().Strings()
 	duration := c.Flag("duration", "Time after which flows finish and close.").Default("20s").Duration()
 	ramp := c.Flag("ramp", "Time over which flows begin.").Default("10s").Duration()
-	finish := c.Flag("finish", "Time that flows have to finish.").Default("12s").Duration()
+	finish := c.Flag("finish", "Time limit for flows to finish.").Default("12s").Duration()
 	return command{clause: c, run: func(ctx context.Context) error {
 		profiles, err := parseProfiles(*flows)
 		if err != nil {
@@ -45,6 +45,7 @@
 	}}
 }
 
+// parseFabric parses entry instances as PACKETS=HEALTH.
 func parseFabric(entries []string) (*fabric.Fabric, error) {
 	var list []fabric.Entry
 	for _, e := range entries {
@@ -58,6 +59,7 @@
 	return fabric.New(list), nil
 }
 
+// parseProfiles parses profiles in the format of the flag --flows.
 func parseProfiles(list []string) ([]*caller.Profile, error) {
 	var out []*caller.Profile
 	for _, text := range list {
@@ -86,6 +88,7 @@
 	return out, nil
 }
 
+// runLoad runs the profiles' flows for duration, lets them finish and reports.
 func runLoad(ctx context.Context, f *fabric.Fabric, profiles []*caller.Profile, listen string, ramp, duration, finish time.Duration) error {
 	addr, err := netip.ParseAddrPort(listen)
 	if err != nil {
@@ -106,7 +109,7 @@
 	callers.Run(runCtx, g)
 	clock.Sleep(runCtx, duration)
 	callers.FinishFlows()
-	awaitEnd(runCtx, callers, profiles, finish)
+	awaitFlowsEnd(runCtx, callers, profiles, finish)
 	cancel()
 	if err := g.Wait(); err != nil {
 		return err
@@ -114,10 +117,11 @@
 	return report(callers.Results(profiles))
 }
 
-// awaitEnd waits until all flows have ended, at most for the given time.
-func awaitEnd(ctx context.Context, c *caller.Callers, profiles []*caller.Profile, limit time.Duration) {
+// awaitFlowsEnd waits until all flows have ended, until the timeout or until ctx
+// ends.
+func awaitFlowsEnd(ctx context.Context, c *caller.Callers, profiles []*caller.Profile, timeout time.Duration) {
 	const poll = 100 * time.Millisecond
-	for waited := time.Duration(0); waited < limit && ctx.Err() == nil; waited += poll {
+	for waited := time.Duration(0); waited < timeout && ctx.Err() == nil; waited += poll {
 		open := 0
 		for _, r := range c.Results(profiles) {
 			open += r.Open
@@ -129,7 +133,7 @@
 	}
 }
 
-// report prints the results and fails if a flow did not get its whole answer.
+// report prints the results, and returns an error if a flow broke or did not finish.
 func report(results []caller.Result) error {
 	served, broken := 0, 0
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
@@ -150,7 +154,7 @@
 	fmt.Printf("flows-served: %d\n", served)
 	fmt.Printf("flows-broken: %d\n", broken)
 	if broken > 0 {
-		return errBroken
+		return errBrokenFlows
 	}
 	return nil
 }
--- a/emulator/cmd/catkinrail-emulator/main.go
+++ b/emulator/cmd/catkinrail-emulator/main.go
@@ -1,5 +1,6 @@
-// Command catkinrail-emulator stands in for what surrounds a catkinrail load
-// balancer: callers, the fabric and backend servers. It also runs experiments.
+// Command catkinrail-emulator emulates the environment of a catkinrail load
+// balancer: callers, the fabric and backend servers. It also runs experiments and
+// benchmarks.
 package main
 
 import (
@@ -12,7 +13,7 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// command is a command of the emulator.
+// command is a subcommand of the emulator.
 type command struct {
 	clause *kingpin.CmdClause
 	run    func(context.Context) error
@@ -22,8 +23,9 @@
 	os.Exit(run())
 }
 
+// run runs the subcommand and returns the exit code.
 func run() int {
-	app := kingpin.New("catkinrail-emulator", "Stands in for callers, the fabric and backend servers.")
+	app := kingpin.New("catkinrail-emulator", "Emulates callers, the fabric and backend servers.")
 	commands := []command{backendsCommand(app), loadCommand(app), measureCommand(app), benchCommand(app), controlCommand(app), capacityCommand(app), platformNodeCommand(app), platformRunCommand(app), proxyCommand(app)}
 	name := kingpin.MustParse(app.Parse(os.Args[1:]))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
--- a/emulator/cmd/catkinrail-emulator/measure.go
+++ b/emulator/cmd/catkinrail-emulator/measure.go
@@ -12,13 +12,13 @@
 
 const outDirMode = 0o755
 
-// measureCommand measures the routing policies.
+// measureCommand compares routing policies in simulations.
 func measureCommand(app *kingpin.Application) command {
 	c := app.Command("measure", "Measure routing policies against scenarios on a simulated network.")
-	out := c.Flag("out", "Folder for the plots.").Default("out/measure").String()
-	seed := c.Flag("seed", "Seed of every choice.").Default("1").Uint64()
-	scale := c.Flag("scale", "Divide the number of flows by this.").Default("1").Int()
-	baselineScale := c.Flag("baseline-scale", "Divide the baselines' number of flows by this.").Default("8").Int()
+	out := c.Flag("out", "Directory for the plots.").Default("out/measure").String()
+	seed := c.Flag("seed", "Seed of the simulations.").Default("1").Uint64()
+	scale := c.Flag("scale", "Divisor of the numbers of flows.").Default("1").Int()
+	baselineScale := c.Flag("baseline-scale", "Divisor of the numbers of flows of baselines.").Default("8").Int()
 	return command{clause: c, run: func(ctx context.Context) error {
 		if err := os.MkdirAll(*out, outDirMode); err != nil {
 			return err
--- a/emulator/cmd/catkinrail-emulator/platform_node.go
+++ b/emulator/cmd/catkinrail-emulator/platform_node.go
@@ -10,17 +10,16 @@
 	"catkinrail.example/catkinrail/platform/standin"
 )
 
-// platformNodeCommand prints the settings file of a machine on the stand-in
-// platform.
+// platformNodeCommand prints the node file of an instance on the emulated platform.
 func platformNodeCommand(app *kingpin.Application) command {
-	c := app.Command("platform-node", "Print the settings of a machine on the stand-in platform.")
+	c := app.Command("platform-node", "Print the settings of an instance's machine on the emulated platform.")
 	name := c.Flag("name", "Name of the machine.").Required().String()
 	zone := c.Flag("zone", "Availability zone.").Required().String()
 	ip := c.Flag("ip", "Address of the machine.").Required().String()
-	listen := c.Flag("listen", "Address that the machine listens on, if it is reached through another.").String()
+	listen := c.Flag("listen", "Address that the machine listens on, if it differs from --ip.").String()
 	seeds := c.Flag("seed", "Address of a control instance; repeat it for up to three.").Required().Strings()
-	data := c.Flag("data", "Folder of the durable state; none on an entry instance.").String()
-	first := c.Flag("first", "The whole system starts for the first time.").Bool()
+	data := c.Flag("data", "Directory of the durable state; empty for an entry instance.").String()
+	first := c.Flag("first", "Bootstrap: the whole system starts for the first time.").Bool()
 	return command{clause: c, run: func(context.Context) error {
 		n := standin.Node{Name: *name, Zone: *zone, Data: *data, First: *first}
 		var err error
--- a/emulator/cmd/catkinrail-emulator/platform_run.go
+++ b/emulator/cmd/catkinrail-emulator/platform_run.go
@@ -16,39 +16,41 @@
 	"catkinrail.example/catkinrail/transport/clock"
 )
 
-// Load of the run on the stand-in platform.
+// Load and timing of a run on the emulated platform.
 const (
-	platformCallers   = 4
-	platformFlows     = 8
-	platformPause     = 20 * time.Millisecond
-	platformShortFlow = 1
-	platformLongFlow  = 100
-	platformReadyWait = 10 * time.Second
-	// platformDrainBound is the users' bound on a draining backend server.
-	platformDrainBound = 3 * time.Second
+	platformCallers       = 4
+	platformFlows         = 8
+	platformRequestPause  = 20 * time.Millisecond
+	platformShortRequests = 1
+	platformLongRequests  = 100
+	platformReadyTimeout  = 10 * time.Second
+	// platformDrainGrace is the time after which a draining backend server must get
+	// no new flows; the users set it.
+	platformDrainGrace = 3 * time.Second
 	platformBackends   = 3
 	// platformLoss and platformRepeat are the shares of callers' packets that are
-	// lost or sent twice in a soak.
+	// lost or sent twice in a soak test.
 	platformLoss   = 0.01
 	platformRepeat = 0.01
-	// platformChangePause is the longest time between two changes of a soak.
-	platformChangePause = 1500 * time.Millisecond
+	// platformMaxChangeInterval is the maximum time between two changes in a soak
+	// test.
+	platformMaxChangeInterval = 1500 * time.Millisecond
 )
 
-// errPlatformRun means that callers saw what they must not see.
-var errPlatformRun = errors.New("a promise was broken")
+// errViolation reports that a check of the run failed.
+var errViolation = errors.New("a check of the run failed: see the printed counts")
 
-// platformRunCommand plays the router, callers, backend servers and an operator
-// of the stand-in platform against running instances.
+// platformRunCommand emulates the platform's router, callers, backend servers and
+// an operator for running instances.
 func platformRunCommand(app *kingpin.Application) command {
-	c := app.Command("platform-run", "Play the platform against running instances.")
+	c := app.Command("platform-run", "Emulate the platform for running instances.")
 	entries := c.Flag("entry", "Address of an entry instance; repeat it for all.").Required().Strings()
 	controls := c.Flag("control", "Address of a control instance; repeat it for all.").Required().Strings()
-	span := c.Flag("duration", "How long callers call.").Default("10s").Duration()
-	network := c.Flag("net", "Second number of the addresses, 1 to 254.").Default("1").Uint8()
-	seed := c.Flag("soak", "Change documents and replace backend servers at random times, with this seed, and lose packets.").Uint64()
+	duration := c.Flag("duration", "Time during which callers open flows.").Default("10s").Duration()
+	subnet := c.Flag("net", "Second number of the loopback addresses, 1 to 254.").Default("1").Uint8()
+	seed := c.Flag("soak", "Seed of a soak test: change documents and replace backend servers at random times, and lose packets.").Uint64()
 	return command{clause: c, run: func(ctx context.Context) error {
-		p := platformRun{span: *span, router: &standin.Router{}, seed: *seed, net: *network}
+		p := platformRun{duration: *duration, router: &standin.Router{}, seed: *seed, subnet: *subnet}
 		if p.seed != 0 {
 			p.router.Loss, p.router.Repeat = platformLoss, platformRepeat
 		}
@@ -63,26 +65,28 @@
 			})
 		}
 		for _, ip := range *controls {
-			p.control = append(p.control, fmt.Sprintf("%s:%d", ip, standin.ControlPort))
+			p.controlAddrs = append(p.controlAddrs, fmt.Sprintf("%s:%d", ip, standin.ControlPort))
 		}
 		return p.run(ctx)
 	}}
 }
 
-// platformRun is one run.
+// platformRun is a run on the emulated platform.
 type platformRun struct {
-	span    time.Duration
-	router  *standin.Router
-	control []string
-	counts  standin.Counts
-	// seed is that of a soak, zero for a plain run.
+	duration     time.Duration
+	router       *standin.Router
+	controlAddrs []string
+	counts       standin.Counts
+	// seed is the seed of a soak test, or zero for a plain run.
 	seed uint64
-	net  byte
+	// subnet is the second number of the loopback addresses.
+	subnet byte
 
 	mu       sync.Mutex
 	backends []*standin.Backend
-	// stale counts reads that were older than an acknowledged document.
-	stale int
+	// staleReads counts reads that returned an older document than the last one
+	// acknowledged.
+	staleReads int
 }
 
 func (p *platformRun) run(ctx context.Context) error {
@@ -95,18 +99,18 @@
 	g, ctx := errgroup.WithContext(ctx)
 	for _, r := range routes {
 		for range platformBackends {
-			p.start(ctx, g, r.Service)
+			p.startBackend(ctx, g, r.Service)
 		}
 	}
 	g.Go(func() error { return p.router.Run(ctx) })
-	op := standin.Operator{Control: p.control}
-	wait, stop := context.WithTimeout(ctx, platformReadyWait)
+	op := standin.Operator{Control: p.controlAddrs}
+	readyCtx, stop := context.WithTimeout(ctx, platformReadyTimeout)
 	defer stop()
-	if err := op.Put(wait, 1, routes); err != nil {
+	if err := op.Put(readyCtx, 1, routes); err != nil {
 		return err
 	}
 	time.Sleep(time.Second)
-	if err := p.call(ctx, g, routes, &op); err != nil {
+	if err := p.runCallers(ctx, g, routes, &op); err != nil {
 		return err
 	}
 	cancel()
@@ -116,72 +120,72 @@
 	return p.report()
 }
 
-// start starts a backend server of the service.
-func (p *platformRun) start(ctx context.Context, g *errgroup.Group, service string) {
+// startBackend starts a backend server of the service.
+func (p *platformRun) startBackend(ctx context.Context, g *errgroup.Group, service string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.backends) + 1
 	b := &standin.Backend{
 		Name: fmt.Sprintf("i-%x", 0x7f000000+n), Service: service, Zone: string(rune('a' + n%platformBackends)),
-		Addr:    netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, p.net, 9, byte(n)}), standin.PacketPort),
-		Control: p.control, CallerPort: standin.PacketPort, Bound: platformDrainBound,
+		Addr:    netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, p.subnet, 9, byte(n)}), standin.PacketPort),
+		Control: p.controlAddrs, CallerPort: standin.PacketPort, Bound: platformDrainGrace,
 	}
 	p.backends = append(p.backends, b)
 	g.Go(func() error { return b.Run(ctx) })
 }
 
-// call runs the callers, with changes meanwhile.
-func (p *platformRun) call(ctx context.Context, g *errgroup.Group, routes []standin.Route, op *standin.Operator) error {
-	calling, stop := context.WithTimeout(ctx, p.span)
+// runCallers runs the callers and, meanwhile, changes the system.
+func (p *platformRun) runCallers(ctx context.Context, g *errgroup.Group, routes []standin.Route, op *standin.Operator) error {
+	callCtx, stop := context.WithTimeout(ctx, p.duration)
 	defer stop()
 	var callers errgroup.Group
 	for i := range platformCallers {
 		caller := standin.Caller{
-			Addr:   netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, p.net, 8, byte(1 + i)}), standin.PacketPort),
+			Addr:   netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, p.subnet, 8, byte(1 + i)}), standin.PacketPort),
 			Router: p.router, Counts: &p.counts,
 		}
-		requests := platformShortFlow
+		requests := platformShortRequests
 		if i%2 == 0 {
-			requests = platformLongFlow
+			requests = platformLongRequests
 		}
 		callers.Go(func() error {
-			return caller.Run(calling, routes[i%len(routes)].Listen, platformFlows, requests, platformPause)
+			return caller.Run(callCtx, routes[i%len(routes)].Listen, platformFlows, requests, platformRequestPause)
 		})
 	}
 	callers.Go(func() error {
 		if p.seed != 0 {
-			return p.churn(calling, ctx, g, routes, op)
+			return p.churn(callCtx, ctx, g, routes, op)
 		}
-		return p.change(ctx, routes, op)
+		return p.changeOnce(ctx, routes, op)
 	})
 	return callers.Wait()
 }
 
-// change changes the document once and drains a backend server.
-func (p *platformRun) change(ctx context.Context, routes []standin.Route, op *standin.Operator) error {
-	time.Sleep(p.span / 3)
+// changeOnce changes the document and drains a backend server, once.
+func (p *platformRun) changeOnce(ctx context.Context, routes []standin.Route, op *standin.Operator) error {
+	time.Sleep(p.duration / 3)
 	fmt.Println("change: a route more")
 	if err := op.Put(ctx, 2, append(routes, extraRoute(1))); err != nil {
 		return err
 	}
 	fmt.Println("change: a backend server drains")
 	p.backends[0].Drain()
-	return p.readBack(ctx, op, 2)
+	return p.checkRead(ctx, op, 2)
 }
 
-// extraRoute returns the n-th route without traffic.
+// extraRoute returns the n-th route that callers don't use.
 func extraRoute(n int) standin.Route {
 	return standin.Route{Listen: netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 18, 1, byte(n)}), 443), Service: "feed"}
 }
 
-// churn changes documents and replaces backend servers at random times until
-// calling ends.
-func (p *platformRun) churn(calling, ctx context.Context, g *errgroup.Group, routes []standin.Route, op *standin.Operator) error {
+// churn changes the document or replaces a backend server at random times until
+// callCtx ends.
+func (p *platformRun) churn(callCtx, ctx context.Context, g *errgroup.Group, routes []standin.Route, op *standin.Operator) error {
 	rng := rand.New(rand.NewPCG(p.seed, 1))
-	for version := uint64(2); calling.Err() == nil; version++ {
-		clock.Sleep(calling, time.Duration(rng.Int64N(int64(platformChangePause))))
+	for version := uint64(2); callCtx.Err() == nil; version++ {
+		clock.Sleep(callCtx, time.Duration(rng.Int64N(int64(platformMaxChangeInterval))))
 		if rng.IntN(2) == 0 {
-			p.replace(ctx, g, routes[rng.IntN(len(routes))].Service)
+			p.replaceBackend(ctx, g, routes[rng.IntN(len(routes))].Service)
 			continue
 		}
 		list := routes
@@ -191,16 +195,17 @@
 		if err := op.Put(ctx, version, list); err != nil {
 			return err
 		}
-		if err := p.readBack(ctx, op, version); err != nil {
+		if err := p.checkRead(ctx, op, version); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// replace starts a backend server and lets the oldest of its service drain.
-func (p *platformRun) replace(ctx context.Context, g *errgroup.Group, service string) {
-	p.start(ctx, g, service)
+// replaceBackend starts a backend server, and drains the oldest one of the service
+// that isn't draining.
+func (p *platformRun) replaceBackend(ctx context.Context, g *errgroup.Group, service string) {
+	p.startBackend(ctx, g, service)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, b := range p.backends {
@@ -211,19 +216,21 @@
 	}
 }
 
-// readBack notes whether the document that is read is older than one that was
-// acknowledged.
-func (p *platformRun) readBack(ctx context.Context, op *standin.Operator, acknowledged uint64) error {
+// checkRead reads the document and counts it as stale if it is older than the
+// acknowledged version.
+func (p *platformRun) checkRead(ctx context.Context, op *standin.Operator, acknowledged uint64) error {
 	version, err := op.Get(ctx)
 	if err == nil && version < acknowledged {
 		fmt.Printf("read version %d after version %d was acknowledged\n", version, acknowledged)
-		p.stale++
+		p.staleReads++
 	}
 	return err
 }
 
-// report prints what callers, backend servers and the operator saw, and fails if
-// a promise was broken. How long things took is not judged.
+// report prints the counts. It returns an error if nothing was served, a flow was
+// broken or refused, a request moved to another backend server, a flow was late or a
+// read stale. It doesn't judge how long things took: unopened flows and unanswered
+// requests are only printed.
 func (p *platformRun) report() error {
 	late := int64(0)
 	for _, b := range p.backends {
@@ -233,9 +240,9 @@
 	fmt.Printf("requests-served: %d\nflows-refused: %d\nflows-unopened: %d\nrequests-silent: %d\n",
 		c.Served.Load(), c.Refused.Load(), c.Unopened.Load(), c.Silent.Load())
 	fmt.Printf("flows-broken: %d\nrequests-moved: %d\nflows-late: %d\nreads-stale: %d\n",
-		c.Broken.Load(), c.Moved.Load(), late, p.stale)
-	if c.Served.Load() == 0 || c.Broken.Load() > 0 || c.Moved.Load() > 0 || c.Refused.Load() > 0 || late > 0 || p.stale > 0 {
-		return errPlatformRun
+		c.Broken.Load(), c.Moved.Load(), late, p.staleReads)
+	if c.Served.Load() == 0 || c.Broken.Load() > 0 || c.Moved.Load() > 0 || c.Refused.Load() > 0 || late > 0 || p.staleReads > 0 {
+		return errViolation
 	}
 	return nil
 }
