--- a/fake/net.go
+++ b/fake/net.go
@@ -19,7 +19,7 @@
 // Policy selects how moves of buckets are carried out.
 type Policy uint8
 
-// Policies. Services use Chosen; the others are baselines to compare it with.
+// Policies. Services use the first one; the others are baselines to compare it with.
 const (
 	// Chosen prepares, opens and settles moves, gated by acknowledgements.
 	Chosen Policy = iota
