--- a/fake/net.go
+++ b/fake/net.go
@@ -1,7 +1,8 @@
 // Package fake simulates entry instances, a control leader, callers and backend
 // servers in one process, connected by a network with delay, loss, reordering and
-// partitions. Time is simulated and all randomness comes from one seed, so that a
-// run can be repeated exactly. Disk is a fake disk for tests of durable state.
+// partitions. Time is simulated and all randomness comes from one seed: a run can be
+// repeated exactly if the code under test is deterministic. Disk is a fake disk for
+// tests of durable state.
 package fake
 
 import (
