--- a/coordination/route/planned_test.go
+++ b/coordination/route/planned_test.go
@@ -19,13 +19,13 @@
 // testCluster is a simulated network with a service, entry instances and backend
 // servers.
 type testCluster struct {
-	*fake.Net
+	*fake.Network
 	entries []*fake.Entry
 	servers []*fake.Server
 }
 
 func newTestCluster(cfg fake.Config, entries, servers int, svc catkinrail.ServiceConfig) *testCluster {
-	c := &testCluster{Net: fake.New(cfg)}
+	c := &testCluster{Network: fake.New(cfg)}
 	svc.Name = logbook
 	svc.Addr = netip.MustParseAddrPort("192.0.2.1:443")
 	svc.Buckets = 256
@@ -58,7 +58,7 @@
 	require.Zero(t, c.Count(fake.Refused), "refused flows")
 	require.Zero(t, c.Stats.WrongService)
 	require.Zero(t, c.Stats.LateFlows, "late new flows on a draining backend server")
-	require.Zero(t, c.Stats.RefusedAfterPass)
+	require.Zero(t, c.Stats.RefusedAfterForward)
 }
 
 func TestPlannedChanges(t *testing.T) {
@@ -98,7 +98,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			c := newTestCluster(fake.Config{Seed: 1, Loss: 0.005, Spread: time.Second}, 8, 5, catkinrail.ServiceConfig{})
+			c := newTestCluster(fake.Config{Seed: 1, Loss: 0.005, MaxUpdateDelay: time.Second}, 8, 5, catkinrail.ServiceConfig{})
 			c.OpenMany(logbook, 2000, 30*time.Second, time.Second, 0)
 			c.At(8*time.Second, func() { tt.change(c) })
 			c.Run(40 * time.Second)
--- a/coordination/route/property_test.go
+++ b/coordination/route/property_test.go
@@ -18,9 +18,9 @@
 func randomTestCluster(t *rapid.T, policy fake.Policy, balance catkinrail.Balance) *testCluster {
 	cfg := fake.Config{
 		Seed: rapid.Uint64Range(1, 1<<40).Draw(t, "seed"), Policy: policy,
-		Loss:   rapid.Float64Range(0, 0.02).Draw(t, "loss"),
-		Spread: time.Duration(rapid.IntRange(0, 1000).Draw(t, "spread")) * time.Millisecond,
-		Skew:   rapid.Float64Range(0, 0.02).Draw(t, "skew"),
+		Loss:           rapid.Float64Range(0, 0.02).Draw(t, "loss"),
+		MaxUpdateDelay: time.Duration(rapid.IntRange(0, 1000).Draw(t, "spread")) * time.Millisecond,
+		MaxClockDrift:  rapid.Float64Range(0, 0.02).Draw(t, "skew"),
 	}
 	c := newTestCluster(cfg, rapid.IntRange(4, 10).Draw(t, "entries"), rapid.IntRange(3, 6).Draw(t, "servers"), catkinrail.ServiceConfig{Balance: balance})
 	c.OpenMany(logbook, 300, 30*time.Second, 700*time.Millisecond, 0)
@@ -84,13 +84,13 @@
 	for _, balance := range []catkinrail.Balance{catkinrail.BalanceHashed, catkinrail.BalanceTracked} {
 		t.Run(string(balance), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				c := randomTestCluster(t, fake.Chosen, balance)
+				c := randomTestCluster(t, fake.Phased, balance)
 				c.Run(60 * time.Second)
 				require.Empty(t, c.Causes(5), "broken flows")
 				require.Empty(t, c.Stuck(maxAnswerDelay), "flows whose packets get no answer")
 				require.Zero(t, c.Stats.WrongService)
 				require.Zero(t, c.Stats.LateFlows, "late new flows on a draining backend server")
-				require.Zero(t, c.Stats.RefusedAfterPass)
+				require.Zero(t, c.Stats.RefusedAfterForward)
 			})
 		})
 	}
@@ -104,8 +104,8 @@
 		cfg  fake.Config
 	}{
 		{"hash only", fake.Config{Policy: fake.HashOnly}},
-		{"one step", fake.Config{Policy: fake.OneStep, Spread: 2 * time.Second}},
-		{"no acknowledgements", fake.Config{Unguarded: true, Spread: 4 * time.Second}},
+		{"one step", fake.Config{Policy: fake.OneStep, MaxUpdateDelay: 2 * time.Second}},
+		{"no acknowledgements", fake.Config{AssumeAcks: true, MaxUpdateDelay: 4 * time.Second}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -151,7 +151,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			svc := catkinrail.ServiceConfig{Proto: catkinrail.ProtoUDP, Balance: tt.balance}
-			c := newTestCluster(fake.Config{Seed: 1, Loss: 0.005, Spread: 300 * time.Millisecond}, 8, 4, svc)
+			c := newTestCluster(fake.Config{Seed: 1, Loss: 0.005, MaxUpdateDelay: 300 * time.Millisecond}, 8, 4, svc)
 			// Flows that send at least once a second get a record before the move opens.
 			c.OpenMany(logbook, 1000, 20*time.Second, 300*time.Millisecond, 0)
 			c.At(8*time.Second, c.servers[0].Drain)
@@ -187,7 +187,7 @@
 	c.At(10*time.Second, func() { c.OpenMany(logbook, 4000, 5*time.Second, time.Second, 0) })
 	c.Run(25 * time.Second)
 	require.Empty(t, c.Causes(5))
-	require.Zero(t, c.Stats.RefusedAfterPass)
+	require.Zero(t, c.Stats.RefusedAfterForward)
 	require.Equal(t, len(c.Flows), c.Count(fake.Established))
 }
 
@@ -201,7 +201,7 @@
 	c.Run(30 * time.Second)
 	for _, f := range c.Flows {
 		if f.State == fake.Broken {
-			require.Equal(t, catkinrail.BackendID(1), f.Server.Backend(), f.Cause)
+			require.Equal(t, catkinrail.BackendID(1), f.Slot.Backend(), f.Cause)
 		}
 	}
 	require.Zero(t, c.Stats.LateFlows)
@@ -212,7 +212,7 @@
 	c.OpenMany(logbook, 200, time.Second, 200*time.Millisecond, 0)
 	c.Run(6 * time.Second)
 	forwarded := c.Stats.Forwarded
-	c.Must(deleteService(logbook))
+	c.MustExecute(deleteService(logbook))
 	c.Run(8 * time.Second)
 	after := c.Stats.Forwarded
 	require.Greater(t, after, forwarded)
--- a/coordination/route/unplanned_test.go
+++ b/coordination/route/unplanned_test.go
@@ -41,8 +41,8 @@
 			c.At(c.Now()+6*time.Second, func() { c.entries[0].Isolate(false) })
 		}},
 		{"control lost for 10 s", func(c *testCluster) {
-			c.CutControl(true)
-			c.At(c.Now()+10*time.Second, func() { c.CutControl(false) })
+			c.PartitionControl(true)
+			c.At(c.Now()+10*time.Second, func() { c.PartitionControl(false) })
 		}},
 		{"entry instance lost while another joins", func(c *testCluster) {
 			c.AddEntry("entry-new", zones[0])
@@ -51,7 +51,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			cfg := fake.Config{Seed: 1, Loss: 0.005, Spread: 500 * time.Millisecond, Skew: 0.01}
+			cfg := fake.Config{Seed: 1, Loss: 0.005, MaxUpdateDelay: 500 * time.Millisecond, MaxClockDrift: 0.01}
 			c := newTestCluster(cfg, 8, 5, catkinrail.ServiceConfig{})
 			c.OpenMany(logbook, 2000, 30*time.Second, time.Second, 0)
 			c.At(5*time.Second, func() { c.servers[0].Drain() })
--- a/coordination/route/zonecut_test.go
+++ b/coordination/route/zonecut_test.go
@@ -15,15 +15,15 @@
 // Callers on both sides keep opening flows. The second result has the flows whose
 // packets enter through the partitioned zone.
 func partitionZone(seed uint64, during func(c *testCluster)) (c *testCluster, inside []*fake.Flow) {
-	c = newTestCluster(fake.Config{Seed: seed, Loss: 0.002, Spread: 300 * time.Millisecond}, 12, 5, catkinrail.ServiceConfig{})
+	c = newTestCluster(fake.Config{Seed: seed, Loss: 0.002, MaxUpdateDelay: 300 * time.Millisecond}, 12, 5, catkinrail.ServiceConfig{})
 	for i := range 600 {
 		c.At(3*time.Second+time.Duration(i)*40*time.Millisecond, func() {
 			c.Open(logbook, time.Second, 0)
-			inside = append(inside, c.Open(logbook, time.Second, 0).Pin(zones[0]))
+			inside = append(inside, c.Open(logbook, time.Second, 0).PinToZone(zones[0]))
 		})
 	}
 	c.At(6*time.Second, c.servers[2].Drain)
-	c.At(10*time.Second, func() { c.CutZone(zones[0]) })
+	c.At(10*time.Second, func() { c.PartitionZone(zones[0]) })
 	c.At(16*time.Second, func() { during(c) })
 	c.At(20*time.Second, func() { c.HealZone(zones[0]) })
 	c.Run(20 * time.Second)
@@ -61,11 +61,11 @@
 			c.Run(60 * time.Second)
 			for _, f := range c.Flows {
 				if f.State == fake.Broken && !placedInPartition(f, inside) {
-					require.Fail(t, "broken flow", "%s opened at %s, on %s", f.Cause, f.Opened, f.Server)
+					require.Fail(t, "broken flow", "%s opened at %s, on %s", f.Cause, f.Opened, f.Slot)
 				}
 			}
 			for _, f := range c.Stuck(maxAnswerDelay) {
-				require.True(t, placedInPartition(f, inside), "flow to %s opened at %s gets no answer", f.Server, f.Opened)
+				require.True(t, placedInPartition(f, inside), "flow to %s opened at %s gets no answer", f.Slot, f.Opened)
 			}
 			require.Zero(t, c.Stats.WrongService)
 			require.Zero(t, c.Count(fake.Failed))
--- a/emulator/experiment/run.go
+++ b/emulator/experiment/run.go
@@ -111,8 +111,8 @@
 		}
 	}
 	for _, f := range sim.Flows {
-		if _, ok := flows[f.Server.Backend()]; ok && f.Opened > from && f.Opened < to {
-			flows[f.Server.Backend()]++
+		if _, ok := flows[f.Slot.Backend()]; ok && f.Opened > from && f.Opened < to {
+			flows[f.Slot.Backend()]++
 		}
 	}
 	return maxOverMean(slices.Collect(maps.Values(flows)))
--- a/emulator/experiment/scenario.go
+++ b/emulator/experiment/scenario.go
@@ -73,18 +73,18 @@
 // Policies lists the policies. The first one is the default of TCP services, on
 // which Summarize reports.
 var Policies = []Policy{
-	{"chosen", fake.Chosen, catkinrail.BalanceHashed, 3, true},
-	{"chosen-2-copies", fake.Chosen, catkinrail.BalanceHashed, 2, false},
-	{"chosen-1-copy", fake.Chosen, catkinrail.BalanceHashed, 1, false},
-	{"tracked", fake.Chosen, catkinrail.BalanceTracked, 3, true},
-	{"tracked-by-owner", fake.Chosen, catkinrail.BalanceTracked, 1, false},
+	{"chosen", fake.Phased, catkinrail.BalanceHashed, 3, true},
+	{"chosen-2-copies", fake.Phased, catkinrail.BalanceHashed, 2, false},
+	{"chosen-1-copy", fake.Phased, catkinrail.BalanceHashed, 1, false},
+	{"tracked", fake.Phased, catkinrail.BalanceTracked, 3, true},
+	{"tracked-by-owner", fake.Phased, catkinrail.BalanceTracked, 1, false},
 	{"one-step", fake.OneStep, catkinrail.BalanceHashed, 3, false},
 	{"hash-only", fake.HashOnly, catkinrail.BalanceHashed, 3, false},
 }
 
 // simulation is a running simulation of a site.
 type simulation struct {
-	*fake.Net
+	*fake.Network
 	site    *Site
 	entries []*fake.Entry
 	servers map[string][]*fake.Server
@@ -120,7 +120,7 @@
 	{"zone-cut", false, func(sim *simulation) {
 		sim.firstServer(1).Drain()
 		z := sim.site.Zones[0]
-		sim.At(sim.Now()+4*time.Second, func() { sim.CutZone(z) })
+		sim.At(sim.Now()+4*time.Second, func() { sim.PartitionZone(z) })
 		sim.At(sim.Now()+14*time.Second, func() { sim.HealZone(z) })
 	}},
 }
@@ -129,8 +129,8 @@
 // backend servers, but no flows.
 func newSimulation(site *Site, p Policy, seed uint64, scale int) *simulation {
 	sim := &simulation{site: site, servers: map[string][]*fake.Server{}, scale: scale}
-	sim.Net = fake.New(fake.Config{
-		Seed: seed, Policy: p.Kind, Copies: p.Copies, Loss: 0.002, Spread: time.Second,
+	sim.Network = fake.New(fake.Config{
+		Seed: seed, Policy: p.Kind, Copies: p.Copies, Loss: 0.002, MaxUpdateDelay: time.Second,
 	})
 	for i, s := range site.Services {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{192, 0, 2, byte(i + 1)}), 443)
--- a/fake/entry.go
+++ b/fake/entry.go
@@ -19,7 +19,7 @@
 
 // Entry is a simulated entry instance.
 type Entry struct {
-	net    *Net
+	net    *Network
 	ID     catkinrail.InstanceID
 	Name   string
 	Zone   catkinrail.Zone
@@ -38,7 +38,7 @@
 }
 
 // AddEntry starts an entry instance.
-func (n *Net) AddEntry(name string, zone catkinrail.Zone) *Entry {
+func (n *Network) AddEntry(name string, zone catkinrail.Zone) *Entry {
 	n.incarnation++
 	n.nextNum++
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(n.nextNum >> 8), byte(n.nextNum)}), 7000)
@@ -47,7 +47,7 @@
 		panic(err)
 	}
 	n.Apply(events)
-	e := &Entry{net: n, ID: id, Name: name, Zone: zone, rate: 1 + n.cfg.Skew*(2*n.rng.Float64()-1)}
+	e := &Entry{net: n, ID: id, Name: name, Zone: zone, rate: 1 + n.cfg.MaxClockDrift*(2*n.rng.Float64()-1)}
 	e.Engine = route.New(route.Config{Zone: zone, Copies: n.cfg.Copies})
 	e.Engine.SetSelf(id)
 	n.Entries = append(n.Entries, e)
@@ -161,7 +161,7 @@
 }
 
 // answerHeartbeat handles a heartbeat as the control leader does.
-func (n *Net) answerHeartbeat(e *Entry, sent int64, report plan.InstanceStatus, exceptions map[catkinrail.ServiceID][]uint32) {
+func (n *Network) answerHeartbeat(e *Entry, sent int64, report plan.InstanceStatus, exceptions map[catkinrail.ServiceID][]uint32) {
 	if n.State.Instances[e.ID] == nil {
 		e.handleRemoval()
 		return
@@ -176,8 +176,8 @@
 	n.Stats.ControlBytes += controlOverhead + uint64(n.encodedSize(changes)) + uint64(16*len(report.Busy))
 	n.leases[e.ID] = &leaseState{expiresAt: n.now + int64(n.leaseDuration()+leaseMargin), status: report}
 	delay := n.jitter(zoneDelay)
-	if len(changes) > 0 && n.cfg.Spread > 0 {
-		delay += time.Duration(n.rng.Int64N(int64(n.cfg.Spread)))
+	if len(changes) > 0 && n.cfg.MaxUpdateDelay > 0 {
+		delay += time.Duration(n.rng.Int64N(int64(n.cfg.MaxUpdateDelay)))
 	}
 	n.after(delay, func() {
 		if n.partitioned[e.Zone] || e.isolated {
@@ -207,7 +207,7 @@
 }
 
 // encodedSize returns the encoded size of the changes in bytes.
-func (n *Net) encodedSize(changes []cluster.Change) int {
+func (n *Network) encodedSize(changes []cluster.Change) int {
 	total := 0
 	for i := range changes {
 		b, err := cluster.Encode(changes[i])
--- a/fake/flow.go
+++ b/fake/flow.go
@@ -41,8 +41,8 @@
 type Flow struct {
 	Service catkinrail.ServiceID
 	State   FlowState
-	// Server is the slot that answered the opening packet.
-	Server catkinrail.SlotID
+	// Slot is the slot that answered the opening packet.
+	Slot catkinrail.SlotID
 	// Opened is when the flow was established, since the start of the run.
 	Opened time.Duration
 	// Cause says what broke the flow.
@@ -76,7 +76,7 @@
 
 // Server is a simulated backend server.
 type Server struct {
-	net     *Net
+	net     *Network
 	Name    string
 	service string
 	// serviceID is the service's identifier when the incarnation started.
@@ -92,7 +92,7 @@
 }
 
 // AddServer starts a backend server and announces it to control.
-func (n *Net) AddServer(service, name string, zone catkinrail.Zone, slots int) *Server {
+func (n *Network) AddServer(service, name string, zone catkinrail.Zone, slots int) *Server {
 	s := &Server{net: n, Name: name, service: service, Zone: zone}
 	for range slots {
 		n.nextNum++
@@ -134,13 +134,13 @@
 // Drain sends the operator's command to drain the server.
 func (s *Server) Drain() {
 	s.drainingSince = s.net.now
-	s.net.Must(&plan.Command{Drain: &plan.BackendRef{Service: s.service, Name: s.Name}})
+	s.net.MustExecute(&plan.Command{Drain: &plan.BackendRef{Service: s.service, Name: s.Name}})
 }
 
 // Readmit sends the operator's command to readmit the server.
 func (s *Server) Readmit() {
 	s.drainingSince = 0
-	s.net.Must(&plan.Command{Readmit: &plan.BackendRef{Service: s.service, Name: s.Name}})
+	s.net.MustExecute(&plan.Command{Readmit: &plan.BackendRef{Service: s.service, Name: s.Name}})
 }
 
 // Kill stops the server. Control expires it at once.
@@ -154,7 +154,7 @@
 	out := make([]int, len(s.flows))
 	for i, m := range s.flows {
 		for f := range m {
-			if f.State == Established && f.Server == catkinrail.MakeSlotID(s.id, i) {
+			if f.State == Established && f.Slot == catkinrail.MakeSlotID(s.id, i) {
 				out[i]++
 			}
 		}
@@ -163,15 +163,15 @@
 }
 
 // CreateService creates a service with the given settings.
-func (n *Net) CreateService(cfg catkinrail.ServiceConfig) {
-	n.Must(&plan.Command{Create: &cfg})
+func (n *Network) CreateService(cfg catkinrail.ServiceConfig) {
+	n.MustExecute(&plan.Command{Create: &cfg})
 }
 
 // Open opens a flow to the service. Once it is established, the caller sends a
 // packet, and the next one about an interval after each answer; if interval is
 // zero, it sends no more. It closes the flow with the first packet that is due
 // after duration, or never if duration is zero.
-func (n *Net) Open(service string, interval, duration time.Duration) *Flow {
+func (n *Network) Open(service string, interval, duration time.Duration) *Flow {
 	svc := n.State.ServiceByName(service)
 	f := &Flow{Service: svc.ID, interval: interval}
 	if duration > 0 {
@@ -189,14 +189,14 @@
 }
 
 // OpenMany opens count flows, evenly spread over a time.
-func (n *Net) OpenMany(service string, count int, over, interval, duration time.Duration) {
+func (n *Network) OpenMany(service string, count int, over, interval, duration time.Duration) {
 	for i := range count {
 		n.after(over*time.Duration(i)/time.Duration(count), func() { n.Open(service, interval, duration) })
 	}
 }
 
 // sendOpening sends the opening packet and retries it until it is answered.
-func (n *Net) sendOpening(f *Flow) {
+func (n *Network) sendOpening(f *Flow) {
 	if f.State != Connecting {
 		return
 	}
@@ -215,7 +215,7 @@
 }
 
 // sendData sends a packet and retries it until it is answered.
-func (n *Net) sendData(f *Flow) {
+func (n *Network) sendData(f *Flow) {
 	if f.State != Established {
 		return
 	}
@@ -241,7 +241,7 @@
 
 // sendToFabric delivers a packet to a random live entry instance, as the fabric
 // does. A caller in a partitioned zone reaches the instances of that zone only.
-func (n *Net) sendToFabric(p packet) {
+func (n *Network) sendToFabric(p packet) {
 	n.Stats.Packets++
 	var live []*Entry
 	for _, e := range n.Entries {
@@ -257,22 +257,22 @@
 }
 
 // fabricCanReach reports whether the fabric may deliver the flow's packets to e.
-func (n *Net) fabricCanReach(f *Flow, e *Entry) bool {
+func (n *Network) fabricCanReach(f *Flow, e *Entry) bool {
 	if f.zone == "" {
 		return !n.partitioned[e.Zone]
 	}
 	return n.reachable(f.zone, e.Zone)
 }
 
-// Pin places the caller in a zone: while it is partitioned, the flow's packets
+// PinToZone places the caller in a zone: while it is partitioned, the flow's packets
 // enter through its instances only.
-func (f *Flow) Pin(z catkinrail.Zone) *Flow {
+func (f *Flow) PinToZone(z catkinrail.Zone) *Flow {
 	f.zone = z
 	return f
 }
 
 // deliverToSlot delivers a packet from an entry instance to a backend server.
-func (n *Net) deliverToSlot(from *Entry, addr netip.AddrPort, service catkinrail.ServiceID, p packet) {
+func (n *Network) deliverToSlot(from *Entry, addr netip.AddrPort, service catkinrail.ServiceID, p packet) {
 	st := n.slots[addr]
 	if st == nil {
 		return
@@ -321,7 +321,7 @@
 }
 
 // deliverToCaller delivers an answer, which bypasses the entry instances.
-func (n *Net) deliverToCaller(run func()) {
+func (n *Network) deliverToCaller(run func()) {
 	if n.losePacket() {
 		return
 	}
@@ -330,14 +330,14 @@
 
 // handleOpened handles the answer of a slot to an opening packet. With UDP, every
 // packet that starts a flow at its slot is one.
-func (n *Net) handleOpened(f *Flow, slot catkinrail.SlotID) {
+func (n *Network) handleOpened(f *Flow, slot catkinrail.SlotID) {
 	switch {
 	case f.State == Connecting:
 		f.State = Established
 		f.Opened = n.Now()
-		f.Server = slot
+		f.Slot = slot
 		n.sendData(f)
-	case f.State == Established && f.key.Proto == catkinrail.ProtoUDP && f.Server != slot:
+	case f.State == Established && f.key.Proto == catkinrail.ProtoUDP && f.Slot != slot:
 		f.fail(fmt.Sprintf("datagram at %s reached %s", n.Now(), slot))
 	case f.State == Established && f.key.Proto == catkinrail.ProtoUDP:
 		n.handleAck(f, slot)
@@ -345,11 +345,11 @@
 }
 
 // handleAck handles the answer of a slot to a later packet.
-func (n *Net) handleAck(f *Flow, slot catkinrail.SlotID) {
+func (n *Network) handleAck(f *Flow, slot catkinrail.SlotID) {
 	if f.State != Established || !f.pending {
 		return
 	}
-	if f.Server != slot {
+	if f.Slot != slot {
 		f.fail(fmt.Sprintf("packet at %s reached %s", n.Now(), slot))
 		return
 	}
@@ -368,10 +368,10 @@
 }
 
 // refuse handles the refusal of a packet by an entry instance.
-func (n *Net) refuse(p packet) {
+func (n *Network) refuse(p packet) {
 	n.Stats.Refused++
 	if p.flow.forwarded {
-		n.Stats.RefusedAfterPass++
+		n.Stats.RefusedAfterForward++
 	}
 	n.deliverToCaller(func() {
 		if p.flow.State == Connecting {
@@ -381,7 +381,7 @@
 }
 
 // Count returns the number of flows in the state.
-func (n *Net) Count(state FlowState) int {
+func (n *Network) Count(state FlowState) int {
 	c := 0
 	for _, f := range n.Flows {
 		if f.State == state {
@@ -393,7 +393,7 @@
 
 // Stuck returns the established flows whose caller has waited longer than age for
 // an answer although their backend server still runs and knows them.
-func (n *Net) Stuck(age time.Duration) []*Flow {
+func (n *Network) Stuck(age time.Duration) []*Flow {
 	var list []*Flow
 	for _, f := range n.Flows {
 		if f.State == Established && f.pending && time.Duration(n.now-f.waitingSince) > age && n.hasLiveServer(f) {
@@ -404,21 +404,21 @@
 }
 
 // hasLiveServer reports whether the flow's backend server runs and still knows it.
-func (n *Net) hasLiveServer(f *Flow) bool {
+func (n *Network) hasLiveServer(f *Flow) bool {
 	for _, st := range n.slots {
-		if st.id == f.Server {
-			return !st.owner.Dead && st.owner.flows[f.Server.Index()][f]
+		if st.id == f.Slot {
+			return !st.owner.Dead && st.owner.flows[f.Slot.Index()][f]
 		}
 	}
 	return false
 }
 
 // Causes describes up to limit broken flows and what broke them.
-func (n *Net) Causes(limit int) []string {
+func (n *Network) Causes(limit int) []string {
 	var list []string
 	for _, f := range n.Flows {
 		if f.State == Broken && len(list) < limit {
-			list = append(list, fmt.Sprintf("%s on %s: %s", f.key.String(), f.Server, f.Cause))
+			list = append(list, fmt.Sprintf("%s on %s: %s", f.key.String(), f.Slot, f.Cause))
 		}
 	}
 	return list
--- a/fake/net.go
+++ b/fake/net.go
@@ -22,8 +22,8 @@
 
 // Policies. Services use the first one; the others are baselines to compare it with.
 const (
-	// Chosen prepares, opens and settles moves, gated by acknowledgements.
-	Chosen Policy = iota
+	// Phased prepares, opens and settles moves, gated by acknowledgements.
+	Phased Policy = iota
 	// HashOnly moves buckets at once and keeps no records.
 	HashOnly
 	// OneStep opens moves at once, without preparing them.
@@ -38,13 +38,13 @@
 	Copies int
 	// Loss is the share of packets that each hop loses, 0 to 1.
 	Loss float64
-	// Spread is the maximum additional delay of a configuration update.
-	Spread time.Duration
-	// Skew is the maximum deviation of an instance's clock rate, as a share.
-	Skew float64
-	// Unguarded treats every instance as up to date, so that moves don't wait for
+	// MaxUpdateDelay is the maximum additional delay of a configuration update.
+	MaxUpdateDelay time.Duration
+	// MaxClockDrift is the maximum deviation of an instance's clock rate, as a share.
+	MaxClockDrift float64
+	// AssumeAcks treats every instance as up to date, so that moves don't wait for
 	// acknowledgements. Tests use it to prove that their checks detect this.
-	Unguarded bool
+	AssumeAcks bool
 }
 
 // Timing of the simulation.
@@ -62,9 +62,9 @@
 	callerDelay  = 2 * time.Millisecond
 )
 
-// Net is a simulated network and the instances, callers and backend servers on it.
+// Network is a simulated network and the instances, callers and backend servers on it.
 // It is not safe for concurrent use.
-type Net struct {
+type Network struct {
 	cfg                Config
 	rng                *rand.Rand
 	now                int64
@@ -99,9 +99,9 @@
 	LateFlows int
 	// WrongService counts packets that reached a backend server of another service.
 	WrongService int
-	// RefusedAfterPass counts refusals of flows of which an instance had already
+	// RefusedAfterForward counts refusals of flows of which an instance had already
 	// forwarded a packet.
-	RefusedAfterPass int
+	RefusedAfterForward int
 }
 
 // leaseState is an instance's lease and the status in its last heartbeat.
@@ -143,8 +143,8 @@
 }
 
 // New returns a network without instances.
-func New(cfg Config) *Net {
-	n := &Net{
+func New(cfg Config) *Network {
+	n := &Network{
 		cfg:         cfg,
 		rng:         rand.New(rand.NewPCG(cfg.Seed, cfg.Seed^0x5deece66d)),
 		now:         start,
@@ -162,28 +162,28 @@
 }
 
 // Watch calls f after each committed change. It replaces any earlier function.
-func (n *Net) Watch(f func(cluster.Change)) {
+func (n *Network) Watch(f func(cluster.Change)) {
 	n.onChange = f
 }
 
 // Now returns the simulated time since the start of the run.
-func (n *Net) Now() time.Duration {
+func (n *Network) Now() time.Duration {
 	return time.Duration(n.now - start)
 }
 
 // after runs a function after a simulated delay.
-func (n *Net) after(d time.Duration, run func()) {
+func (n *Network) after(d time.Duration, run func()) {
 	n.seq++
 	heap.Push(&n.queue, event{at: n.now + int64(d), seq: n.seq, run: run})
 }
 
 // At runs f at the given time since the start.
-func (n *Net) At(at time.Duration, f func()) {
+func (n *Network) At(at time.Duration, f func()) {
 	n.after(max(0, at-n.Now()), f)
 }
 
 // Run advances the simulation to the given time since the start.
-func (n *Net) Run(until time.Duration) {
+func (n *Network) Run(until time.Duration) {
 	end := start + int64(until)
 	for len(n.queue) > 0 && n.queue[0].at <= end {
 		e := n.queue[0]
@@ -195,45 +195,45 @@
 }
 
 // leaseDuration returns how long an instance's lease lasts.
-func (n *Net) leaseDuration() time.Duration {
-	if n.cfg.Unguarded {
+func (n *Network) leaseDuration() time.Duration {
+	if n.cfg.AssumeAcks {
 		return assumedAcksLease
 	}
 	return leaseTime
 }
 
 // jitter returns a random delay between 0.5 d and 1.5 d.
-func (n *Net) jitter(d time.Duration) time.Duration {
+func (n *Network) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(n.rng.Int64N(int64(d)+1))
 }
 
 // losePacket decides at random whether a packet is lost.
-func (n *Net) losePacket() bool {
+func (n *Network) losePacket() bool {
 	return n.cfg.Loss > 0 && n.rng.Float64() < n.cfg.Loss
 }
 
 // reachable reports whether the network connects two zones.
-func (n *Net) reachable(a, b catkinrail.Zone) bool {
+func (n *Network) reachable(a, b catkinrail.Zone) bool {
 	return a == b || (!n.partitioned[a] && !n.partitioned[b])
 }
 
-// CutZone partitions a zone from the others and from control.
-func (n *Net) CutZone(z catkinrail.Zone) {
+// PartitionZone partitions a zone from the others and from control.
+func (n *Network) PartitionZone(z catkinrail.Zone) {
 	n.partitioned[z] = true
 }
 
-// CutControl partitions all entry instances from control, or ends the partition.
-func (n *Net) CutControl(on bool) {
+// PartitionControl partitions all entry instances from control, or ends the partition.
+func (n *Network) PartitionControl(on bool) {
 	n.controlPartitioned = on
 }
 
 // HealZone ends the partition of a zone.
-func (n *Net) HealZone(z catkinrail.Zone) {
+func (n *Network) HealZone(z catkinrail.Zone) {
 	delete(n.partitioned, z)
 }
 
 // Apply commits events to the cluster state. It panics if they can't be applied.
-func (n *Net) Apply(events []cluster.Event) {
+func (n *Network) Apply(events []cluster.Event) {
 	if len(events) == 0 {
 		return
 	}
@@ -249,8 +249,8 @@
 
 // applyPolicy rewrites the events that prepare moves to what the policy does
 // instead.
-func (n *Net) applyPolicy(events []cluster.Event) []cluster.Event {
-	if n.cfg.Policy == Chosen {
+func (n *Network) applyPolicy(events []cluster.Event) []cluster.Event {
+	if n.cfg.Policy == Phased {
 		return events
 	}
 	var out []cluster.Event
@@ -276,13 +276,13 @@
 }
 
 // planTick commits the next planned events, as the control leader does.
-func (n *Net) planTick() {
+func (n *Network) planTick() {
 	n.after(tickInterval, n.planTick)
 	members := map[catkinrail.InstanceID]plan.InstanceStatus{}
 	for id, l := range n.leases {
 		m := l.status
 		m.Leased = n.now < l.expiresAt
-		if n.cfg.Unguarded {
+		if n.cfg.AssumeAcks {
 			m.Version, m.Synced = n.State.Version, n.State.Version
 		}
 		members[id] = m
@@ -291,8 +291,8 @@
 	n.Apply(n.planner.Next(n.State, time.Unix(0, n.now)))
 }
 
-// Must carries out an operator's command, and panics if it fails.
-func (n *Net) Must(c *plan.Command) {
+// MustExecute carries out an operator's command, and panics if it fails.
+func (n *Network) MustExecute(c *plan.Command) {
 	n.nextNum++
 	c.Request = time.Duration(n.nextNum).String()
 	events, _, err := plan.Evaluate(n.State, c)
