--- a/control/cmd/catkinrail-control/daemon.go
+++ b/control/cmd/catkinrail-control/daemon.go
@@ -186,7 +186,7 @@
 	}
 	dir := gossip.New(gossip.Config{
 		Self: d.self(), Clock: clk, Log: d.log, Creds: d.creds, Group: g, Seeds: d.seeds,
-		Silent: d.cfg.SilentAfter, Members: func() *quorum.Members { return c.Snapshot().Members }, Dir: d.dir,
+		SilentAfter: d.cfg.SilentAfter, Members: func() *quorum.Members { return c.Snapshot().Members }, Dir: d.dir,
 	})
 	streams := follow.New(c, dir, clk, d.log)
 	mux := drpcmux.New()
--- a/control/document/store_test.go
+++ b/control/document/store_test.go
@@ -68,7 +68,7 @@
 			Clock: clk, Log: logs.Discard(), Journal: j, Stored: stored, Send: voter.New(ctx, &in.group, nil, logs.Discard(), clk).Send,
 		})
 		require.NoError(t, err)
-		dir := gossip.New(gossip.Config{Clock: clk, Log: logs.Discard(), Silent: time.Minute})
+		dir := gossip.New(gossip.Config{Clock: clk, Log: logs.Discard(), SilentAfter: time.Minute})
 		mux := drpcmux.New()
 		require.NoError(t, control.DRPCRegisterControl(mux, entry.New(c, dir, follow.New(c, dir, clk, logs.Discard()))))
 		in.group.Go(func() error { return rpc.Serve(ctx, l, mux) })
--- a/control/follow/feed_test.go
+++ b/control/follow/feed_test.go
@@ -18,7 +18,7 @@
 )
 
 func newDirectory() *gossip.Directory {
-	return gossip.New(gossip.Config{Clock: clock.New(), Log: logs.Discard(), Silent: time.Hour})
+	return gossip.New(gossip.Config{Clock: clock.New(), Log: logs.Discard(), SilentAfter: time.Hour})
 }
 
 func incarnation(n int, sequence uint64, draining bool) *catkinrail.Incarnation {
--- a/control/gossip/gossip.go
+++ b/control/gossip/gossip.go
@@ -50,7 +50,7 @@
 	Group *errgroup.Group
 	// Seeds returns addresses of control instances that may not be members yet.
 	Seeds  func() []string
-	Silent time.Duration
+	SilentAfter time.Duration
 	// Members returns the members that this instance knows; it must not wait.
 	Members func() *quorum.Members
 	// Dir keeps the directory on disk; nil for none.
@@ -77,7 +77,7 @@
 
 // New returns a directory with what was saved on disk.
 func New(cfg Config) *Directory {
-	d := &Directory{cfg: cfg, dir: directory.New(cfg.Silent), peers: map[string]*peer{}, changed: make(chan struct{})}
+	d := &Directory{cfg: cfg, dir: directory.New(cfg.SilentAfter), peers: map[string]*peer{}, changed: make(chan struct{})}
 	d.load()
 	return d
 }
@@ -228,7 +228,7 @@
 	now := d.now()
 	if held := now - d.ticked; d.ticked != 0 && held > int64(stallTime) {
 		d.cfg.Log.Info().Int64("held-ms", held/1e6).Msg("process was held up")
-		d.dir.CompensatePause(held)
+		d.dir.CompensateStall(held)
 	}
 	d.ticked = now
 	if d.partial() {
@@ -236,7 +236,7 @@
 		return
 	}
 	if silent := d.dir.Tick(now); len(silent) > 0 {
-		d.cfg.Log.Info().Strs("backends", silent).Dur("after", d.cfg.Silent).Msg("backend servers silent")
+		d.cfg.Log.Info().Strs("backends", silent).Dur("after", d.cfg.SilentAfter).Msg("backend servers silent")
 		d.wake()
 	}
 }
--- a/control/gossip/gossip_test.go
+++ b/control/gossip/gossip_test.go
@@ -32,7 +32,7 @@
 
 func newDirectory(clock catkinrail.Clock, zone string, dir catkinrail.Dir) *Directory {
 	return New(Config{
-		Self: quorum.Peer{Name: "control-" + zone, Zone: zone}, Clock: clock, Log: logs.Discard(), Silent: silentAfter, Dir: dir,
+		Self: quorum.Peer{Name: "control-" + zone, Zone: zone}, Clock: clock, Log: logs.Discard(), SilentAfter: silentAfter, Dir: dir,
 	})
 }
 
--- a/coordination/plan/planner.go
+++ b/coordination/plan/planner.go
@@ -47,9 +47,9 @@
 	UnrecordedAge time.Duration `cbor:"1,keyasint,omitempty"`
 	// SawUnrecorded is set if there was such a packet.
 	SawUnrecorded bool `cbor:"2,keyasint,omitempty"`
-	// Elsewhere is set while a record of one of the move's buckets names a slot
+	// OtherSlot is set while a record of one of the move's buckets names a slot
 	// other than the bucket's next one.
-	Elsewhere bool `cbor:"3,keyasint,omitempty"`
+	OtherSlot bool `cbor:"3,keyasint,omitempty"`
 }
 
 // Planner advances moves and views. It belongs to one leader for one term and
@@ -413,7 +413,7 @@
 		if !ok {
 			continue
 		}
-		if busy.Elsewhere {
+		if busy.OtherSlot {
 			return false
 		}
 		if busy.SawUnrecorded {
--- a/coordination/route/answer.go
+++ b/coordination/route/answer.go
@@ -183,8 +183,8 @@
 		if id == self {
 			continue
 		}
-		m.Chain[m.Length] = id
-		m.Length++
+		m.Chain[m.ChainLength] = id
+		m.ChainLength++
 	}
 	return e.relayStore(&m, r, rec)
 }
@@ -194,8 +194,8 @@
 // newer, the receiver may have joined and must store the record: the packet is then
 // dropped and the caller retransmits it.
 func (e *Engine) relayStore(m *relay.Message, r *request, rec *catkinrail.Record) Verdict {
-	for ; m.At < m.Length; m.At++ {
-		p, ok := r.t.peers[m.Chain[m.At]]
+	for ; m.ChainIndex < m.ChainLength; m.ChainIndex++ {
+		p, ok := r.t.peers[m.Chain[m.ChainIndex]]
 		if !ok && m.Version > r.t.version {
 			return r.drop(ReasonNoPeer)
 		}
@@ -232,7 +232,7 @@
 	if !e.Leased(r.now) && !e.zone.isPartitioned() {
 		return r.drop(ReasonNoLease)
 	}
-	if m.At >= m.Length || m.Chain[m.At] != e.Self() {
+	if m.ChainIndex >= m.ChainLength || m.Chain[m.ChainIndex] != e.Self() {
 		return r.drop(ReasonNoPeer)
 	}
 	rec := catkinrail.Record{Key: r.h.Key, Slot: m.Slot, Epoch: m.Epoch, Seen: r.now}
@@ -245,6 +245,6 @@
 	if e.zone.isPartitioned() {
 		e.addException(r.bucketID())
 	}
-	m.At++
+	m.ChainIndex++
 	return e.relayStore(m, r, &held)
 }
--- a/coordination/route/engine_test.go
+++ b/coordination/route/engine_test.go
@@ -71,22 +71,22 @@
 	}{
 		{
 			"last replica of the chain forwards the packet",
-			relay.Message{Kind: relay.Store, Slot: other, Epoch: 1, Version: 1, Chain: [6]catkinrail.InstanceID{2, 1}, Length: 2, At: 1},
+			relay.Message{Kind: relay.Store, Slot: other, Epoch: 1, Version: 1, Chain: [6]catkinrail.InstanceID{2, 1}, ChainLength: 2, ChainIndex: 1},
 			route.Forward, route.ReasonNone, other,
 		},
 		{
 			"an instance that has left is skipped",
-			relay.Message{Kind: relay.Store, Slot: other, Epoch: 1, Version: 1, Chain: [6]catkinrail.InstanceID{1, 9}, Length: 2, At: 0},
+			relay.Message{Kind: relay.Store, Slot: other, Epoch: 1, Version: 1, Chain: [6]catkinrail.InstanceID{1, 9}, ChainLength: 2, ChainIndex: 0},
 			route.Forward, route.ReasonNone, other,
 		},
 		{
 			"an instance that has joined is not skipped",
-			relay.Message{Kind: relay.Store, Slot: other, Epoch: 1, Version: 2, Chain: [6]catkinrail.InstanceID{1, 9}, Length: 2, At: 0},
+			relay.Message{Kind: relay.Store, Slot: other, Epoch: 1, Version: 2, Chain: [6]catkinrail.InstanceID{1, 9}, ChainLength: 2, ChainIndex: 0},
 			route.Drop, route.ReasonNoPeer, 0,
 		},
 		{
 			"addressed to another instance",
-			relay.Message{Kind: relay.Store, Slot: other, Epoch: 1, Version: 1, Chain: [6]catkinrail.InstanceID{2, 3}, Length: 2, At: 0},
+			relay.Message{Kind: relay.Store, Slot: other, Epoch: 1, Version: 1, Chain: [6]catkinrail.InstanceID{2, 3}, ChainLength: 2, ChainIndex: 0},
 			route.Drop, route.ReasonNoPeer, 0,
 		},
 	}
@@ -106,7 +106,7 @@
 func TestStoreKeepsTheEarlierRecord(t *testing.T) {
 	e := newEngine(t, catkinrail.BalanceHashed, catkinrail.Bucket{Cur: first, Next: other, Phase: catkinrail.Open})
 	store := func(slot catkinrail.SlotID, epoch uint64) route.Verdict {
-		m := relay.Message{Kind: relay.Store, Sender: 2, Slot: slot, Epoch: epoch, Version: 1, Chain: [6]catkinrail.InstanceID{1}, Length: 1}
+		m := relay.Message{Kind: relay.Store, Sender: 2, Slot: slot, Epoch: epoch, Version: 1, Chain: [6]catkinrail.InstanceID{1}, ChainLength: 1}
 		return e.HandleRelayed(&m, header(1, ip.FlagSYN), 2*second)
 	}
 	require.Equal(t, other, store(other, 5).Slot)
--- a/coordination/route/report.go
+++ b/coordination/route/report.go
@@ -38,9 +38,9 @@
 	for _, n := range m.Buckets {
 		id := flow.Bucket{Service: m.Service, Number: uint32(n)}
 		if e.flows.HasOtherSlot(id, buckets[n].Next) {
-			b.Elsewhere = true
+			b.OtherSlot = true
 			break
 		}
 	}
-	return b, b.SawUnrecorded || b.Elsewhere
+	return b, b.SawUnrecorded || b.OtherSlot
 }
--- a/emulator/bench/token.go
+++ b/emulator/bench/token.go
@@ -77,7 +77,7 @@
 func forwardByToken(ctx context.Context, in *udp.Conn, to netip.AddrPort, handled *atomic.Int64) error {
 	clk := clock.New()
 	r := packet.NewRouter(newTokenEngine(clk.Nanos(), to), clk)
-	w := packet.New(r, in, platform.Packets{}, clk, logs.Discard(), metrics.NewRegistry())
+	w := packet.New(r, in, platform.PacketCodec{}, clk, logs.Discard(), metrics.NewRegistry())
 	return readLoop(ctx, in, handled, w.Batch)
 }
 
--- a/emulator/cmd/catkinrail-emulator/platform_node.go
+++ b/emulator/cmd/catkinrail-emulator/platform_node.go
@@ -21,7 +21,7 @@
 	data := c.Flag("data", "Directory of the durable state; empty for an entry instance.").String()
 	first := c.Flag("first", "Bootstrap: the whole system starts for the first time.").Bool()
 	return command{clause: c, run: func(context.Context) error {
-		n := standin.Node{Name: *name, Zone: *zone, Data: *data, First: *first}
+		n := standin.Node{Name: *name, Zone: *zone, Data: *data, FirstStart: *first}
 		var err error
 		if n.IP, err = netip.ParseAddr(*ip); err != nil {
 			return err
--- a/emulator/cmd/catkinrail-emulator/platform_run.go
+++ b/emulator/cmd/catkinrail-emulator/platform_run.go
@@ -128,7 +128,7 @@
 	b := &standin.Backend{
 		Name: fmt.Sprintf("i-%x", 0x7f000000+n), Service: service, Zone: string(rune('a' + n%platformBackends)),
 		Addr:    netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, p.subnet, 9, byte(n)}), standin.PacketPort),
-		Control: p.controlAddrs, CallerPort: standin.PacketPort, Bound: platformDrainGrace,
+		Control: p.controlAddrs, CallerPort: standin.PacketPort, DrainGrace: platformDrainGrace,
 	}
 	p.backends = append(p.backends, b)
 	g.Go(func() error { return b.Run(ctx) })
@@ -234,11 +234,11 @@
 func (p *platformRun) report() error {
 	late := int64(0)
 	for _, b := range p.backends {
-		late += b.Late.Load()
+		late += b.LateFlows.Load()
 	}
 	c := &p.counts
 	fmt.Printf("requests-served: %d\nflows-refused: %d\nflows-unopened: %d\nrequests-silent: %d\n",
-		c.Served.Load(), c.Refused.Load(), c.Unopened.Load(), c.Silent.Load())
+		c.Served.Load(), c.Refused.Load(), c.Unopened.Load(), c.Unanswered.Load())
 	fmt.Printf("flows-broken: %d\nrequests-moved: %d\nflows-late: %d\nreads-stale: %d\n",
 		c.Broken.Load(), c.Moved.Load(), late, p.staleReads)
 	if c.Served.Load() == 0 || c.Broken.Load() > 0 || c.Moved.Load() > 0 || c.Refused.Load() > 0 || late > 0 || p.staleReads > 0 {
--- a/emulator/control/measure.go
+++ b/emulator/control/measure.go
@@ -149,7 +149,7 @@
 	for i := range cfg.Servers {
 		s := f.instances[i%len(f.instances)]
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 4, byte(i >> 8), byte(i)}), 6080)
-		s.reg.Keep(&plan.Announcement{
+		s.reg.AddPermanent(&plan.Announcement{
 			Service: names[i%len(names)], Name: serverName(i),
 			Zone:  catkinrail.Zone(fmt.Sprintf("zone-%d", i%len(f.instances)%numZones)),
 			Slots: []netip.AddrPort{addr, netip.AddrPortFrom(addr.Addr(), 6081)}, Incarnation: 1,
--- a/entry/backend/announce.go
+++ b/entry/backend/announce.go
@@ -123,9 +123,9 @@
 	return a.Incarnation == b.Incarnation && a.Draining == b.Draining && a.Weight == b.Weight
 }
 
-// Keep holds an announcement without end, for stand-ins that announce nothing
+// AddPermanent holds an announcement without end, for stand-ins that announce nothing
 // themselves.
-func (r *Registry) Keep(a *plan.Announcement) {
+func (r *Registry) AddPermanent(a *plan.Announcement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	const forever = 365 * 24 * time.Hour
--- a/entry/cmd/catkinrail-entry/daemon.go
+++ b/entry/cmd/catkinrail-entry/daemon.go
@@ -179,6 +179,6 @@
 
 // farewell gives the client time to report that the instance has left.
 func (d *daemon) farewell(ctx context.Context) {
-	d.client.Left()
+	d.client.FinishLeaving()
 	clock.Sleep(ctx, farewellTime)
 }
--- a/entry/cmd/catkinrail-entry/token.go
+++ b/entry/cmd/catkinrail-entry/token.go
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	codec := platform.Packets{CallerPort: d.node.Packets.Port()}
+	codec := platform.PacketCodec{CallerPort: d.node.Packets.Port()}
 	d.worker = packet.New(d.router, conn, codec, d.clock, d.log, reg)
 	g.Go(func() error { return d.worker.Run(ctx) })
 	g.Go(func() error { return d.client.Run(ctx) })
--- a/entry/control/client.go
+++ b/entry/control/client.go
@@ -79,8 +79,8 @@
 	c.leaving.Store(true)
 }
 
-// Left makes the client report that the instance forwards nothing any more.
-func (c *Client) Left() {
+// FinishLeaving makes the client report that the instance forwards nothing any more.
+func (c *Client) FinishLeaving() {
 	c.left.Store(true)
 }
 
--- a/entry/fabric/worker_test.go
+++ b/entry/fabric/worker_test.go
@@ -130,7 +130,7 @@
 	f.Add(packet("192.0.2.1"), false)
 	f.Add(packet("192.0.2.9"), false)
 	f.Add(relay.Key{}.Append(nil, &relay.Message{Kind: relay.Lookup}, packet("192.0.2.1")), true)
-	f.Add(relay.Key{}.Append(nil, &relay.Message{Kind: relay.Store, Length: 1}, packet("192.0.2.1")), true)
+	f.Add(relay.Key{}.Append(nil, &relay.Message{Kind: relay.Store, ChainLength: 1}, packet("192.0.2.1")), true)
 	f.Add(relay.Key{}.Append(nil, &relay.Message{Kind: relay.Copy}, make([]byte, 54)), true)
 	f.Fuzz(func(t *testing.T, b []byte, relaying bool) {
 		s := &socket{in: [][]byte{b}, whole: true}
--- a/protocol/relay/relay.go
+++ b/protocol/relay/relay.go
@@ -61,8 +61,8 @@
 	// Chain lists the replicas of a Store, Length of them, and At is the index
 	// of the receiver.
 	Chain  [MaxChain]catkinrail.InstanceID
-	Length uint8
-	At     uint8
+	ChainLength uint8
+	ChainIndex     uint8
 }
 
 // FlagLeased is set in a ProbeAnswer by an instance that holds a lease.
@@ -111,7 +111,7 @@
 	b = binary.BigEndian.AppendUint32(b, uint32(m.Slot))
 	b = binary.BigEndian.AppendUint64(b, m.Epoch)
 	b = binary.BigEndian.AppendUint32(b, m.Seq)
-	b = append(b, m.Length, m.At)
+	b = append(b, m.ChainLength, m.ChainIndex)
 	for _, id := range m.Chain {
 		b = binary.BigEndian.AppendUint32(b, uint32(id))
 	}
@@ -138,12 +138,12 @@
 		Slot:    catkinrail.SlotID(binary.BigEndian.Uint32(h[24:])),
 		Epoch:   binary.BigEndian.Uint64(h[28:]),
 		Seq:     binary.BigEndian.Uint32(h[36:]),
-		Length:  h[40], At: h[41],
+		ChainLength:  h[40], ChainIndex: h[41],
 	}
 	if m.Kind == 0 || m.Kind >= numKinds {
 		return nil, ErrKind
 	}
-	if m.Length > MaxChain || m.At > m.Length {
+	if m.ChainLength > MaxChain || m.ChainIndex > m.ChainLength {
 		return nil, ErrChain
 	}
 	for i := range m.Chain {
--- a/protocol/relay/relay_test.go
+++ b/protocol/relay/relay_test.go
@@ -24,9 +24,9 @@
 			Kind: relay.Store, Hops: rapid.Byte().Draw(t, "hops"), Flags: rapid.Byte().Draw(t, "flags"),
 			Sender: catkinrail.InstanceID(rapid.Uint32().Draw(t, "sender")), Version: rapid.Uint64().Draw(t, "version"),
 			View: rapid.Uint64().Draw(t, "view"), Slot: catkinrail.SlotID(rapid.Uint32().Draw(t, "slot")),
-			Epoch: rapid.Uint64().Draw(t, "epoch"), Seq: rapid.Uint32().Draw(t, "seq"), Length: 3, At: 1,
+			Epoch: rapid.Uint64().Draw(t, "epoch"), Seq: rapid.Uint32().Draw(t, "seq"), ChainLength: 3, ChainIndex: 1,
 		}
-		for i := range m.Length {
+		for i := range m.ChainLength {
 			m.Chain[i] = catkinrail.InstanceID(rapid.Uint32().Draw(t, "chain"))
 		}
 		payload := rapid.SliceOf(rapid.Byte()).Draw(t, "payload")
@@ -53,8 +53,8 @@
 		{"empty", nil, relay.ErrTruncated},
 		{"another key", testKey(t, 2).Append(nil, &relay.Message{Kind: relay.Lookup}, nil), relay.ErrTag},
 		{"unknown kind", k.Append(nil, &relay.Message{Kind: 99}, nil), relay.ErrKind},
-		{"long chain", k.Append(nil, &relay.Message{Kind: relay.Store, Length: 7}, nil), relay.ErrChain},
-		{"beyond the chain", k.Append(nil, &relay.Message{Kind: relay.Store, Length: 2, At: 3}, nil), relay.ErrChain},
+		{"long chain", k.Append(nil, &relay.Message{Kind: relay.Store, ChainLength: 7}, nil), relay.ErrChain},
+		{"beyond the chain", k.Append(nil, &relay.Message{Kind: relay.Store, ChainLength: 2, ChainIndex: 3}, nil), relay.ErrChain},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -85,7 +85,7 @@
 		var m relay.Message
 		payload, err := k.Parse(b, &m)
 		if err == nil {
-			require.LessOrEqual(t, m.At, m.Length)
+			require.LessOrEqual(t, m.ChainIndex, m.ChainLength)
 			_, _ = relay.ParseRecords(payload, now)
 		}
 		_, _ = relay.ParseRecords(b, now)
--- a/state/directory/directory.go
+++ b/state/directory/directory.go
@@ -227,9 +227,9 @@
 	return silent
 }
 
-// CompensatePause adds span, for which this instance could not receive reports, to the
+// CompensateStall adds span, for which this instance could not receive reports, to the
 // time of every last report, so that the pause doesn't make backend servers silent.
-func (d *Directory) CompensatePause(span int64) {
+func (d *Directory) CompensateStall(span int64) {
 	for _, e := range d.entries {
 		e.lastReport += span
 	}
--- a/state/directory/directory_test.go
+++ b/state/directory/directory_test.go
@@ -105,7 +105,7 @@
 	require.False(t, d.Renew("a", 100, 3, true, 10*second), "a change of state must be fetched")
 
 	// A process that was paused for a minute received no reports in that time.
-	d.CompensatePause(60 * second)
+	d.CompensateStall(60 * second)
 	require.Empty(t, d.Tick(70*second))
 
 	// Entries that fell silent long ago expire.
