--- a/emulator/cmd/catkinrail-emulator/measure.go
+++ b/emulator/cmd/catkinrail-emulator/measure.go
@@ -12,18 +12,18 @@
 
 const outDirMode = 0o755
 
-// measureCommand measures the routing policies.
+// measureCommand compares routing policies in simulations.
 func measureCommand(app *kingpin.Application) command {
 	c := app.Command("measure", "Measure routing policies against scenarios on a simulated network.")
-	out := c.Flag("out", "Folder for the plots.").Default("out/measure").String()
-	seed := c.Flag("seed", "Seed of every choice.").Default("1").Uint64()
-	scale := c.Flag("scale", "Divide the number of flows by this.").Default("1").Int()
-	baselineScale := c.Flag("baseline-scale", "Divide the baselines' number of flows by this.").Default("8").Int()
+	out := c.Flag("out", "Directory for the plots.").Default("out/measure").String()
+	seed := c.Flag("seed", "Seed of the simulations.").Default("1").Uint64()
+	scale := c.Flag("scale", "Divisor of the numbers of flows.").Default("1").Int()
+	baselineScale := c.Flag("baseline-scale", "Divisor of the numbers of flows of baselines.").Default("8").Int()
 	return command{clause: c, run: func(ctx context.Context) error {
 		if err := os.MkdirAll(*out, outDirMode); err != nil {
 			return err
 		}
-		results, err := experiment.All(ctx, *seed, *scale, *baselineScale)
+		results, err := experiment.RunAll(ctx, *seed, *scale, *baselineScale)
 		if err != nil {
 			return err
 		}
@@ -41,8 +41,8 @@
 			return err
 		}
 		w := experiment.Summarize(results)
-		fmt.Printf("late-flows: %d\n", w.Late)
-		fmt.Printf("imbalance-during: %.3f\n", w.During)
+		fmt.Printf("late-flows: %d\n", w.LateFlows)
+		fmt.Printf("imbalance-during: %.3f\n", w.DuringImbalance)
 		fmt.Printf("imbalance-tracked: %.3f\n", w.TrackedImbalance)
 		fmt.Printf("planned-broken: %d\n", w.PlannedBroken)
 		fmt.Printf("unplanned-broken: %d\n", w.UnplannedBroken)
