--- a/coordination/route/property_test.go
+++ b/coordination/route/property_test.go
@@ -18,9 +18,9 @@
 func randomTestCluster(t *rapid.T, policy fake.Policy, balance catkinrail.Balance) *testCluster {
 	cfg := fake.Config{
 		Seed: rapid.Uint64Range(1, 1<<40).Draw(t, "seed"), Policy: policy,
-		Loss:   rapid.Float64Range(0, 0.02).Draw(t, "loss"),
+		Loss:           rapid.Float64Range(0, 0.02).Draw(t, "loss"),
 		MaxUpdateDelay: time.Duration(rapid.IntRange(0, 1000).Draw(t, "spread")) * time.Millisecond,
-		MaxClockDrift:   rapid.Float64Range(0, 0.02).Draw(t, "skew"),
+		MaxClockDrift:  rapid.Float64Range(0, 0.02).Draw(t, "skew"),
 	}
 	c := newTestCluster(cfg, rapid.IntRange(4, 10).Draw(t, "entries"), rapid.IntRange(3, 6).Draw(t, "servers"), catkinrail.ServiceConfig{Balance: balance})
 	c.OpenMany(logbook, 300, 30*time.Second, 700*time.Millisecond, 0)
