--- a/fake/flow.go
+++ b/fake/flow.go
@@ -29,7 +29,7 @@
 	// Broken: a packet reached a backend server that doesn't know the flow, or
 	// another slot answered.
 	Broken
-	// Refused: an entry instance refused the flow.
+	// Refused: an entry instance refused the flow before it was established.
 	Refused
 	// Failed: no opening packet was answered.
 	Failed
@@ -41,7 +41,7 @@
 type Flow struct {
 	Service catkinrail.ServiceID
 	State   FlowState
-	// Slot is the slot that answered the opening packet.
+	// Slot is the slot that answered first.
 	Slot catkinrail.SlotID
 	// Opened is when the flow was established, since the start of the run.
 	Opened time.Duration
@@ -195,7 +195,8 @@
 	}
 }
 
-// sendOpening sends the opening packet and retries it until it is answered.
+// sendOpening sends the opening packet and retries it until it is answered. After
+// maxAttempts the flow has failed.
 func (n *Network) sendOpening(f *Flow) {
 	if f.State != Connecting {
 		return
