--- a/scripts/demo-platform.sh
+++ b/scripts/demo-platform.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # Runs the system on loopback addresses with the settings of the users' platform, with
-# simulated callers, backend servers and operator. One entry instance is killed, one is
+# emulated callers, backend servers and operator. One entry instance is killed, one is
 # stopped, and the control instances are killed and restarted one after the other.
-# Fails if a flow breaks or any other check of platform-run does.
+# Every flow must stay on its backend server. Fails if a check of platform-run fails.
 set -u
 out=${1:-out/demo-platform}
 mkdir -p "$out"
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs the services of both example sites on loopback, changes services, backend
+# Runs the services of both users' sites on loopback, changes services, backend
 # servers and entry instances meanwhile, and checks that every flow received its
 # complete answer from one backend server.
 set -u
--- a/scripts/lib.sh
+++ b/scripts/lib.sh
@@ -1,5 +1,5 @@
 # Functions shared by the scripts that run the programs on loopback. A script sets
-# $out, the folder for logs and data, before it calls them, and entry_count, the
+# $out, the directory for logs and data, before it calls them, and entry_count, the
 # number of entry instances, before start_backends. start records every process ID,
 # and stop_all kills exactly those processes.
 
--- a/scripts/measure-control.sh
+++ b/scripts/measure-control.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # measure-control.sh [FLAG...]: starts three control instances and measures them with
-# simulated entry instances. The flags go to catkinrail-emulator control. OUT is the
-# folder for logs and data, out/measure-control by default.
+# stand-in entry instances. The flags go to catkinrail-emulator control. OUT is the
+# directory for logs and data, out/measure-control by default.
 set -u
 out=${OUT:-out/measure-control}
 mkdir -p "$out"
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -76,8 +76,8 @@
 }
 
 # limit_file_size NAME: limits the files that a control instance writes to 4096 bytes
-# for 1 or 2 s. SIGXFSZ ends a process that writes beyond the limit; the instance is
-# then restarted without it.
+# for 1 or 2 s: writes beyond that fail with EFBIG, since the Go runtime catches
+# SIGXFSZ. The instance is then killed and restarted without the limit.
 limit_file_size() {
 	log_fault "$1 can't write files beyond 4096 bytes"
 	prlimit --pid "${pid_of[$1]}" --fsize=4096
