--- a/emulator/caller/caller.go
+++ b/emulator/caller/caller.go
@@ -195,7 +195,7 @@
 
 // sendRequest sends the flow's current request, for the first time or again.
 func (c *Callers) sendRequest(f *flow, now time.Time, out *udp.Conn) {
-	if !c.scheduleRetry(f, now, fmt.Sprintf("answer to request %d is not whole: %d of %d chunks", f.request.ID, len(f.received), f.request.Chunks)) {
+	if !c.scheduleRetry(f, now, fmt.Sprintf("answer to request %d is incomplete: got %d of %d chunks", f.request.ID, len(f.received), f.request.Chunks)) {
 		return
 	}
 	c.send(f, ip.FlagACK, f.request.Append(nil), out)
@@ -274,7 +274,7 @@
 		return
 	}
 	if h.Flags&ip.FlagRST != 0 {
-		f.fail("reset by a backend server; began with " + f.server)
+		f.fail("reset by a backend server; the first answer was from " + f.server)
 		return
 	}
 	if a, ok := wire.ParseAnswer(b[h.Payload:]); ok {
@@ -285,7 +285,7 @@
 // handleAnswer checks a chunk of an answer and advances the flow.
 func (c *Callers) handleAnswer(f *flow, a *wire.Answer) {
 	if a.Service != f.profile.Service {
-		f.fail(fmt.Sprintf("answer of service %s for service %s", a.Service, f.profile.Service))
+		f.fail(fmt.Sprintf("answer from service %s to a request for service %s", a.Service, f.profile.Service))
 		return
 	}
 	if f.server == "" {
@@ -295,7 +295,7 @@
 		// A retried opening packet may be answered by another slot, too; the flow
 		// stays with the one that answered first.
 		if a.Total > 0 {
-			f.fail(fmt.Sprintf("answer of %s; began with %s", a.Server, f.server))
+			f.fail(fmt.Sprintf("answer from %s; the first answer was from %s", a.Server, f.server))
 		}
 		return
 	}
--- a/emulator/cmd/catkinrail-emulator/load.go
+++ b/emulator/cmd/catkinrail-emulator/load.go
@@ -28,7 +28,7 @@
 	c := app.Command("load", "Run callers behind a fabric and check their answers.")
 	listen := c.Flag("callers", "Address on which callers receive answers.").Required().String()
 	entries := c.Flag("entry", "Packet and health addresses of an entry instance, joined by '='; repeat it for all.").Required().Strings()
-	flows := c.Flag("flows", "Flows to run, as service,address,protocol,flows,every,requests,chunks; repeat it for several.").Required().Strings()
+	flows := c.Flag("flows", "Flows to run, as service,address,protocol,flows,interval,requests,chunks; repeat it for several.").Required().Strings()
 	duration := c.Flag("duration", "Time after which flows finish and close.").Default("20s").Duration()
 	ramp := c.Flag("ramp", "Time over which flows begin.").Default("10s").Duration()
 	finish := c.Flag("finish", "Time limit for flows to finish.").Default("12s").Duration()
--- a/emulator/cmd/catkinrail-emulator/platform_run.go
+++ b/emulator/cmd/catkinrail-emulator/platform_run.go
@@ -47,7 +47,7 @@
 	entries := c.Flag("entry", "Address of an entry instance; repeat it for all.").Required().Strings()
 	controls := c.Flag("control", "Address of a control instance; repeat it for all.").Required().Strings()
 	duration := c.Flag("duration", "Time during which callers open flows.").Default("10s").Duration()
-	subnet := c.Flag("net", "Second number of the loopback addresses, 1 to 254.").Default("1").Uint8()
+	subnet := c.Flag("net", "Second octet of the loopback addresses, 1 to 254.").Default("1").Uint8()
 	seed := c.Flag("soak", "Seed of a soak test: change documents and replace backend servers at random times, and lose packets.").Uint64()
 	return command{clause: c, run: func(ctx context.Context) error {
 		p := platformRun{duration: *duration, router: &standin.Router{}, seed: *seed, subnet: *subnet}
@@ -79,7 +79,7 @@
 	counts       standin.Counts
 	// seed is the seed of a soak test, or zero for a plain run.
 	seed uint64
-	// subnet is the second number of the loopback addresses.
+	// subnet is the second octet of the loopback addresses.
 	subnet byte
 
 	mu       sync.Mutex
@@ -164,7 +164,7 @@
 // changeOnce changes the document and drains a backend server, once.
 func (p *platformRun) changeOnce(ctx context.Context, routes []standin.Route, op *standin.Operator) error {
 	time.Sleep(p.duration / 3)
-	fmt.Println("change: a route more")
+	fmt.Println("change: a route is added")
 	if err := op.Put(ctx, 2, append(routes, extraRoute(1))); err != nil {
 		return err
 	}
--- a/emulator/control/standin.go
+++ b/emulator/control/standin.go
@@ -67,7 +67,7 @@
 const callTimeout = 2 * time.Second
 
 // change makes a change at the first control instance that accepts it, and returns
-// the change's version.
+// the version at which it took effect.
 func (o *operator) change(ctx context.Context, f func(context.Context, api.DRPCOperatorClient, *api.Change) (*api.ChangeReply, error)) (uint64, error) {
 	o.changes++
 	c := &api.Change{Request: fmt.Sprintf("%d-%d", time.Now().UnixNano(), o.changes)}
@@ -160,7 +160,7 @@
 	began := time.Now()
 	for f.lowestVersion() < version {
 		if time.Since(began) > timeout || ctx.Err() != nil {
-			return 0, fmt.Errorf("version %d is not in force at all stand-ins (limit %s): the lowest version is %d", version, timeout, f.lowestVersion())
+			return 0, fmt.Errorf("wait for version %d at every stand-in (timeout %s): the lowest version is %d", version, timeout, f.lowestVersion())
 		}
 		clock.Sleep(ctx, time.Millisecond)
 	}
--- a/emulator/experiment/scenario.go
+++ b/emulator/experiment/scenario.go
@@ -42,7 +42,7 @@
 // ServiceSize describes a service of a site.
 type ServiceSize struct {
 	Name string
-	// Servers is the number of backend servers, and Slots that of each one's slots.
+	// Servers is the number of backend servers, and Slots the number of slots of each.
 	Servers, Slots, FlowsPerSlot int
 	Buckets                      int
 }
@@ -70,8 +70,8 @@
 	Selectable bool
 }
 
-// Policies lists the policies. The first one is the default of TCP services, on
-// which Summarize reports.
+// Policies lists the policies. The first one is the default of TCP services; its
+// figures are those that Summarize returns.
 var Policies = []Policy{
 	{"chosen", fake.Phased, catkinrail.BalanceHashed, 3, true},
 	{"chosen-2-copies", fake.Phased, catkinrail.BalanceHashed, 2, false},
--- a/emulator/proxy/faults.go
+++ b/emulator/proxy/faults.go
@@ -57,12 +57,12 @@
 			func(n *Instance) { n.forEachLink(func(l *Link) { l.Delay(0) }) },
 		},
 		{
-			"cut towards it",
+			"bytes to it blocked",
 			func(n *Instance) { n.forEachLink(func(l *Link) { l.BlockToTarget(true) }) },
 			func(n *Instance) { n.forEachLink(func(l *Link) { l.BlockToTarget(false) }) },
 		},
 		{
-			"cut away from it",
+			"bytes from it blocked",
 			func(n *Instance) { n.forEachLink(func(l *Link) { l.BlockFromTarget(true) }) },
 			func(n *Instance) { n.forEachLink(func(l *Link) { l.BlockFromTarget(false) }) },
 		},
