--- a/emulator/backend/server.go
+++ b/emulator/backend/server.go
@@ -140,7 +140,7 @@
 		s.server.Resets.Add(1)
 		s.answer(&h, ip.FlagRST, nil)
 	case h.Opening():
-		s.answer(&h, ip.FlagSYN|ip.FlagACK, &wire.Answer{Service: s.server.cfg.Service, Server: s.name})
+		s.answer(&h, ip.FlagSYN|ip.FlagACK, &wire.Answer{Service: s.server.cfg.Service, Slot: s.name})
 	case h.Flags&ip.FlagFIN != 0:
 		delete(s.flows, h.Key)
 	default:
@@ -157,7 +157,7 @@
 	f.last = r
 	for i := range r.Chunks {
 		s.answer(h, ip.FlagACK, &wire.Answer{
-			Service: s.server.cfg.Service, Server: s.name, ID: r.ID, Index: i, Total: r.Chunks,
+			Service: s.server.cfg.Service, Slot: s.name, ID: r.ID, Index: i, Total: r.Chunks,
 		})
 	}
 }
--- a/emulator/caller/caller.go
+++ b/emulator/caller/caller.go
@@ -61,8 +61,8 @@
 	profile *Profile
 	key     catkinrail.FlowKey
 	state   state
-	// server is the name of the slot that answered first.
-	server string
+	// slot is the name of the slot that answered first.
+	slot string
 	// cause says why the flow failed.
 	cause string
 	// nextAction is when the next packet is due.
@@ -274,7 +274,7 @@
 		return
 	}
 	if h.Flags&ip.FlagRST != 0 {
-		f.fail("reset by a backend server; the first answer was from " + f.server)
+		f.fail("reset by a backend server; the first answer was from " + f.slot)
 		return
 	}
 	if a, ok := wire.ParseAnswer(b[h.Payload:]); ok {
@@ -288,14 +288,14 @@
 		f.fail(fmt.Sprintf("answer from service %s to a request for service %s", a.Service, f.profile.Service))
 		return
 	}
-	if f.server == "" {
-		f.server = a.Server
+	if f.slot == "" {
+		f.slot = a.Slot
 	}
-	if f.server != a.Server {
+	if f.slot != a.Slot {
 		// A retried opening packet may be answered by another slot, too; the flow
 		// stays with the one that answered first.
 		if a.Total > 0 {
-			f.fail(fmt.Sprintf("answer from %s; the first answer was from %s", a.Server, f.server))
+			f.fail(fmt.Sprintf("answer from %s; the first answer was from %s", a.Slot, f.slot))
 		}
 		return
 	}
@@ -321,11 +321,11 @@
 	Served, Broken, Open int
 	// Requests is the number of requests that were answered completely.
 	Requests int
-	// ByServer is the number of flows by the slot that answered first.
-	ByServer map[string]int
+	// BySlot is the number of flows by the slot that answered first.
+	BySlot map[string]int
 	// Causes says why flows failed, for at most maxCauses of them.
 	Causes []string
-	// Imbalance is the maximum over the mean of ByServer.
+	// Imbalance is the maximum over the mean of BySlot.
 	Imbalance float64
 }
 
@@ -338,13 +338,13 @@
 	defer c.mu.Unlock()
 	var out []Result
 	for _, p := range profiles {
-		r := Result{Service: p.Service, ByServer: map[string]int{}}
+		r := Result{Service: p.Service, BySlot: map[string]int{}}
 		for _, f := range c.order {
 			if f.profile == p {
 				r.add(f)
 			}
 		}
-		r.Imbalance = imbalance(r.ByServer)
+		r.Imbalance = imbalance(r.BySlot)
 		out = append(out, r)
 	}
 	return out
@@ -352,8 +352,8 @@
 
 func (r *Result) add(f *flow) {
 	r.Requests += f.requestsDone
-	if f.server != "" {
-		r.ByServer[f.server]++
+	if f.slot != "" {
+		r.BySlot[f.slot]++
 	}
 	switch f.state {
 	case closed:
--- a/emulator/cmd/catkinrail-emulator/load.go
+++ b/emulator/cmd/catkinrail-emulator/load.go
@@ -139,7 +139,7 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "SERVICE\tSERVED\tBROKEN\tUNFINISHED\tREQUESTS\tSLOTS\tIMBALANCE BY SLOT")
 	for _, r := range results {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%.3f\n", r.Service, r.Served, r.Broken, r.Open, r.Requests, len(r.ByServer), r.Imbalance)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%.3f\n", r.Service, r.Served, r.Broken, r.Open, r.Requests, len(r.BySlot), r.Imbalance)
 		served += r.Served
 		broken += r.Broken + r.Open
 	}
--- a/emulator/wire/wire.go
+++ b/emulator/wire/wire.go
@@ -25,16 +25,16 @@
 }
 
 // Answer is a chunk of an answer: the Index-th of Total. Total is 0 in the answer to
-// an opening packet.
+// an opening packet. Slot names the incarnation of the backend server and its slot.
 type Answer struct {
-	Service, Server string
-	ID              uint32
-	Index, Total    int
+	Service, Slot string
+	ID            uint32
+	Index, Total  int
 }
 
 // Append appends the answer's text to b.
 func (a *Answer) Append(b []byte) []byte {
-	return fmt.Appendf(b, "answer %s %s %d %d %d", a.Service, a.Server, a.ID, a.Index, a.Total)
+	return fmt.Appendf(b, "answer %s %s %d %d %d", a.Service, a.Slot, a.ID, a.Index, a.Total)
 }
 
 // ParseAnswer parses the text of an answer.
@@ -42,6 +42,6 @@
 	if !strings.HasPrefix(string(b), "answer ") {
 		return a, false
 	}
-	_, err := fmt.Sscanf(string(b), "answer %s %s %d %d %d", &a.Service, &a.Server, &a.ID, &a.Index, &a.Total)
+	_, err := fmt.Sscanf(string(b), "answer %s %s %d %d %d", &a.Service, &a.Slot, &a.ID, &a.Index, &a.Total)
 	return a, err == nil
 }
