--- a/coordination/route/answer.go
+++ b/coordination/route/answer.go
@@ -190,10 +190,10 @@
 	return e.relayStore(&m, r, rec)
 }
 
-// relayStore sends a Store to its next receiver. A receiver that isn't in the
-// configuration has been removed and is skipped. If the sender's configuration is
-// newer, the receiver may have joined and must store the record: the packet is then
-// dropped and the caller retransmits it.
+// relayStore sends a Store to its next receiver. A receiver that isn't in the cluster
+// state has been removed and is skipped. If the sender's state version is higher, the
+// receiver may have joined and must store the record: the packet is then dropped and
+// the caller retransmits it.
 func (e *Engine) relayStore(m *relay.Message, r *request, rec *catkinrail.Record) Verdict {
 	for ; m.ChainIndex < m.ChainLength; m.ChainIndex++ {
 		p, ok := r.t.peers[m.Chain[m.ChainIndex]]
--- a/coordination/route/copies.go
+++ b/coordination/route/copies.go
@@ -133,7 +133,7 @@
 		return nil, err
 	}
 	t := e.table.Load()
-	// With an older configuration than the sender's, this instance might remove the
+	// With a lower state version than the sender's, this instance might remove the
 	// records as unneeded. It doesn't confirm them, so that the sender retries.
 	if t.version < m.Version {
 		return nil, nil
--- a/coordination/route/engine.go
+++ b/coordination/route/engine.go
@@ -130,8 +130,8 @@
 	copies    copier
 }
 
-// New returns an engine without configuration. It drops every packet until Update and
-// SetLease have been called.
+// New returns an engine with an empty cluster state. It drops every packet until Update
+// or Replace, and SetLease, have been called.
 func New(cfg Config) *Engine {
 	if cfg.Copies == 0 {
 		cfg.Copies = NumReplicas
@@ -169,7 +169,7 @@
 	return now < e.lease.Load()
 }
 
-// Version returns the configuration version in force.
+// Version returns the state version in force.
 func (e *Engine) Version() uint64 {
 	return e.table.Load().version
 }
@@ -182,7 +182,7 @@
 	return v.Phase == catkinrail.Settled && !slices.Contains(v.Base, self)
 }
 
-// ServiceKnown reports whether the configuration has the named service.
+// ServiceKnown reports whether the cluster state has the named service.
 func (e *Engine) ServiceKnown(name string) bool {
 	for _, svc := range e.table.Load().byID {
 		if svc.cfg.Name == name {
--- a/coordination/route/table.go
+++ b/coordination/route/table.go
@@ -217,7 +217,7 @@
 }
 
 // admitDeadline returns the time from which a slot whose backend server isn't active
-// gets no new flows. It keeps a time that the old table set. The first configuration
+// gets no new flows. It keeps a time that the old table set. The first cluster state
 // has no grace period, because the drain may have begun long ago.
 func admitDeadline(old *table, id catkinrail.SlotID, now int64) int64 {
 	if old == nil || old.version == 0 {
--- a/coordination/route/zone.go
+++ b/coordination/route/zone.go
@@ -275,7 +275,7 @@
 }
 
 // placePartitioned chooses the slot of a new flow. The second result reports whether
-// the slot is one that the configuration allows and all of the bucket's replicas get
+// the slot is one that the cluster state allows and all of the bucket's replicas get
 // the record.
 func (e *Engine) placePartitioned(r *request, view *partitionView) (id catkinrail.SlotID, regular bool) {
 	complete := r.b.lookup != nil && view.containsAll(r.b.lookup.members())
--- a/entry/control/client.go
+++ b/entry/control/client.go
@@ -1,5 +1,5 @@
 // Package control is the entry instance's client of the control leader. It registers
-// the instance, receives the configuration, renews the lease and sends reports.
+// the instance, receives the cluster state, renews the lease and sends reports.
 package control
 
 import (
@@ -86,7 +86,7 @@
 	c.left.Store(true)
 }
 
-// Ready reports whether the instance has its configuration and isn't leaving.
+// Ready reports whether the instance has received the cluster state and isn't leaving.
 func (c *Client) Ready() bool {
 	return c.ready.Load() && !c.leaving.Load()
 }
--- a/protocol/relay/relay.go
+++ b/protocol/relay/relay.go
@@ -26,7 +26,7 @@
 	Copy
 	// CopyAck confirms a Copy.
 	CopyAck
-	// Probe asks an instance in the same zone for its lease and version.
+	// Probe asks another instance, of any zone, for its lease and state version.
 	Probe
 	// ProbeAnswer answers a Probe.
 	ProbeAnswer
@@ -50,7 +50,7 @@
 	Flags uint8
 	// Sender is the instance that sent the message.
 	Sender catkinrail.InstanceID
-	// Version is the sender's configuration version.
+	// Version is the sender's state version.
 	Version uint64
 	// View is the sender's view version; for Copy, the view it serves.
 	View  uint64
--- a/state/flow/table.go
+++ b/state/flow/table.go
@@ -28,7 +28,7 @@
 	// evictInterval is the minimum time between two evictions in one bucket.
 	evictInterval = 100 * time.Millisecond
 	// unneededRetention is how long a bucket's records are kept although the
-	// configuration doesn't need them here. They may belong to a configuration
+	// cluster state doesn't need them here. They may belong to a state version
 	// that this instance hasn't received yet. The instance lags behind by less than
 	// the duration of a lease, or it would hold no lease.
 	unneededRetention = 15 * time.Second
--- a/state/flow/table_test.go
+++ b/state/flow/table_test.go
@@ -78,7 +78,7 @@
 }
 
 // TestUnneededRecordRetention checks that records are kept for a while on an
-// instance that receives them before the configuration that makes it a replica.
+// instance that receives them before the state version that makes it a replica.
 func TestUnneededRecordRetention(t *testing.T) {
 	table := flow.New()
 	table.Insert(bucket, record(1, 16, 1, time.Second), 10)
