--- a/coordination/message/message.go
+++ b/coordination/message/message.go
@@ -1,5 +1,5 @@
-// Package message defines the messages that control instances exchange with each
-// other and with entry instances. Each is the body of a frame of protocol/control.
+// Package message defines messages that control instances exchange with each other
+// and with entry instances. They are sent in the bodies of frames of protocol/control.
 package message
 
 import (
