--- a/control/core/leader.go
+++ b/control/core/leader.go
@@ -48,7 +48,7 @@
 	plannedAt int64
 }
 
-// entryState is what the leader knows of an entry instance.
+// entryState is what the leader keeps about an entry instance.
 type entryState struct {
 	// leaseEnd is the time up to which the instance may hold a lease.
 	leaseEnd int64
@@ -377,7 +377,7 @@
 	Burn    map[catkinrail.ServiceID][]burn.Report
 }
 
-// EntryStatus is what the leader knows of an entry instance.
+// EntryStatus is the status of an entry instance as shown to operators.
 type EntryStatus struct {
 	Leased  bool
 	Version uint64
--- a/coordination/plan/members.go
+++ b/coordination/plan/members.go
@@ -82,7 +82,7 @@
 	}
 	if d.serving(svc) {
 		// A cold backend server starts with a part of its weight.
-		b.Weight = max(b.FullWeight/rampSteps, 1)
+		b.Weight = max(b.FullWeight/warmUpSteps, 1)
 	}
 	b.Drained = old != nil && old.Drained
 	b.State = announcedState(b, a)
@@ -144,9 +144,9 @@
 	d.putBackend(svc, &put)
 }
 
-// rampSteps is the number of steps in which a cold backend server reaches its full
+// warmUpSteps is the number of steps in which a cold backend server reaches its full
 // weight.
-const rampSteps = 4
+const warmUpSteps = 4
 
 // serving reports whether the service's buckets are assigned. Other backend servers
 // then take new flows, so that a cold one need not take its whole share at once.
--- a/coordination/plan/planner.go
+++ b/coordination/plan/planner.go
@@ -27,7 +27,8 @@
 // unreachable, all leases end within this time, so that none counts as lost alone.
 const lossGrace = 500 * time.Millisecond
 
-// InstanceStatus is what the leader knows of an entry instance.
+// InstanceStatus is the status of an entry instance, on which a Planner bases its
+// decisions.
 type InstanceStatus struct {
 	// Leased is set while the instance may hold a lease.
 	Leased bool
@@ -132,8 +133,8 @@
 	return d.events
 }
 
-// rampInterval is the time between two steps of a cold backend server's weight.
-const rampInterval = 5 * time.Second
+// warmUpInterval is the time between two steps of a cold backend server's weight.
+const warmUpInterval = 5 * time.Second
 
 // warmUp raises the weight of cold backend servers. It waits until no move is in
 // Prepare, so that the moves of the earlier step are open.
@@ -153,12 +154,12 @@
 		if p.weightSince[id].IsZero() {
 			p.weightSince[id] = now
 		}
-		if now.Sub(p.weightSince[id]) < rampInterval {
+		if now.Sub(p.weightSince[id]) < warmUpInterval {
 			continue
 		}
 		delete(p.weightSince, id)
 		put := *b
-		put.Weight = min(b.Weight+max(b.FullWeight/rampSteps, 1), b.FullWeight)
+		put.Weight = min(b.Weight+max(b.FullWeight/warmUpSteps, 1), b.FullWeight)
 		d.add(cluster.Event{BackendPut: &put})
 		due[b.Service] = append(due[b.Service], &put)
 	}
