--- a/entry/fabric/worker.go
+++ b/entry/fabric/worker.go
@@ -15,7 +15,7 @@
 )
 
 // maxDecisionAge is the age above which a decision is discarded. If the process was
-// paused between deciding and sending, the lease may have expired, so the worker
+// stalled between deciding and sending, the lease may have expired, so the worker
 // decides again.
 const maxDecisionAge = 20 * time.Millisecond
 
@@ -27,7 +27,7 @@
 // Socket is the part of udp.Conn that a worker uses.
 type Socket interface {
 	Read() (int, error)
-	Datagram(i int) (b []byte, whole bool)
+	Datagram(i int) (b []byte, complete bool)
 	Source(i int) netip.AddrPort
 	Queue(to netip.AddrPort, b []byte)
 	Discard()
@@ -83,7 +83,7 @@
 }
 
 // Batch decides about the n datagrams of the last read and sends the results. If the
-// process was paused in between, it decides again before it sends.
+// process was stalled in between, it decides again before it sends.
 func (w *Worker) Batch(n int) {
 	now := w.clock.Nanos()
 	w.decide(n, now)
--- a/state/directory/directory.go
+++ b/state/directory/directory.go
@@ -230,7 +230,7 @@
 }
 
 // CompensateStall adds span, for which this instance could not receive reports, to the
-// time of every last report, so that the pause doesn't make backend servers silent.
+// time of every last report, so that the stall doesn't make backend servers silent.
 func (d *Directory) CompensateStall(span int64) {
 	for _, e := range d.entries {
 		e.lastReport += span
--- a/state/directory/directory_test.go
+++ b/state/directory/directory_test.go
@@ -104,7 +104,7 @@
 	require.False(t, d.Renew("a", 200, 1, false, 10*second), "a later incarnation must be fetched")
 	require.False(t, d.Renew("a", 100, 3, true, 10*second), "a change of state must be fetched")
 
-	// A process that was paused for a minute received no reports in that time.
+	// A process that was stalled for a minute received no reports in that time.
 	d.CompensateStall(60 * second)
 	require.Empty(t, d.Tick(70*second))
 
--- a/transport/udp/udp.go
+++ b/transport/udp/udp.go
@@ -133,18 +133,18 @@
 }
 
 // Flush sends the queued datagrams. Those that can't be sent are dropped, as the network
-// may drop them too; lost is their number.
-func (c *Conn) Flush() (lost int) {
+// may drop them too; failed is their number.
+func (c *Conn) Flush() (failed int) {
 	for sent := 0; sent < c.queued; {
 		n, err := c.packet.WriteBatch(c.out[sent:c.queued], 0)
 		sent += max(n, 0)
 		if err != nil {
 			sent++
-			lost++
+			failed++
 		}
 	}
 	c.queued = 0
-	return lost
+	return failed
 }
 
 // Close closes the socket. A blocked Read returns an error.
