--- a/ctl/commands/commands.go
+++ b/ctl/commands/commands.go
@@ -81,7 +81,7 @@
 	a.kingpin.Flag("ca", "File of the certificate authority's certificate.").Envar("CATKINCTL_CA").StringVar(&a.tls.CA)
 	a.kingpin.Flag("certificate", "File of the operator's certificate.").Envar("CATKINCTL_CERTIFICATE").StringVar(&a.tls.Certificate)
 	a.kingpin.Flag("key", "File of the operator's key.").Envar("CATKINCTL_KEY").StringVar(&a.tls.Key)
-	a.kingpin.Flag("insecure", "Use no TLS; for tests on loopback only.").Envar("CATKINCTL_INSECURE").BoolVar(&a.tls.Insecure)
+	a.kingpin.Flag("insecure", "Use no TLS; for trials on loopback only.").Envar("CATKINCTL_INSECURE").BoolVar(&a.tls.Insecure)
 	a.kingpin.Flag("trusted-network", "Use no TLS; only for a network that keeps others out.").
 		Envar("CATKINCTL_TRUSTED_NETWORK").BoolVar(&a.tls.TrustedNetwork)
 	for _, register := range allCommands {
--- a/ctl/report/report.go
+++ b/ctl/report/report.go
@@ -11,12 +11,12 @@
 	"catkinrail.example/catkinrail/ctl/logfile"
 )
 
-// Objective is the number of new flows in a million that may be refused or late.
+// Objective holds the numbers of new flows in a million that may be refused or repeated.
 type Objective struct {
 	// Refused is the limit for refused flows.
 	Refused uint64
-	// Repeated is the limit for flows whose first opening packet got no answer: they
-	// are late by the time after which callers send a copy.
+	// Repeated is the limit for flows whose opening packet was retransmitted: they open
+	// late, by the time after which callers retransmit it.
 	Repeated uint64
 }
 
@@ -39,7 +39,7 @@
 	Reasons map[string]uint64 `json:"reasons,omitempty"`
 }
 
-// Bad returns the number of refused flows, late flows and dropped packets.
+// Bad returns the number of refused flows, repeated flows and dropped packets.
 func (c *Counts) Bad() uint64 {
 	return c.Refused + c.Repeated + c.Dropped
 }
