--- a/control/core/core.go
+++ b/control/core/core.go
@@ -41,7 +41,7 @@
 	ErrNotLeader = errors.New("not the leader")
 	// ErrNotRun means that the request did not run and never will.
 	ErrNotRun = errors.New("not run")
-	// ErrUnknown means that the request may or may not have run. The caller can ask
+	// ErrUnknown means that the request may or may not have run. The client can ask
 	// for its outcome or send it again.
 	ErrUnknown = errors.New("outcome unknown")
 	// ErrLeasesDisabled means that this cluster grants no leases to entry instances.
@@ -123,7 +123,7 @@
 // proposal is a change of the cluster state that is not committed yet: it waits to be
 // appended to the log, or its entry is in the log.
 type proposal struct {
-	// evaluate returns the events to propose, and the answer for the caller.
+	// evaluate returns the events to propose, and the answer to the request.
 	evaluate func(*cluster.State) ([]cluster.Event, *cluster.Answer, error)
 	answer   *cluster.Answer
 	// done receives the result; nil if nobody waits for it.
--- a/control/entry/server.go
+++ b/control/entry/server.go
@@ -161,8 +161,8 @@
 	})
 }
 
-// decodeRequest checks the caller's role and decodes the frame's body into v. Its
-// errors carry a code for the caller.
+// decodeRequest checks the client's role and decodes the frame's body into v. Its
+// errors carry a code for the client.
 func decodeRequest(ctx context.Context, f *control.Frame, v any, roles ...rpc.Role) error {
 	if err := rpc.RequireRole(ctx, roles...); err != nil {
 		return drpcerr.WithCode(err, uint64(api.Code_FORBIDDEN))
@@ -185,7 +185,7 @@
 	return &control.Frame{Body: body}, nil
 }
 
-// withCode adds a code to errors that the caller should react to.
+// withCode adds a code to errors that the client should react to.
 func withCode(err error) error {
 	if errors.Is(err, core.ErrNotLeader) {
 		return drpcerr.WithCode(err, uint64(api.Code_NOT_LEADER))
--- a/control/operator/read.go
+++ b/control/operator/read.go
@@ -12,7 +12,7 @@
 	"catkinrail.example/catkinrail/transport/rpc"
 )
 
-// read checks the caller's role and calls f with the committed state, if this
+// read checks the client's role and calls f with the committed state, if this
 // instance is the leader.
 func (s *Server) read(ctx context.Context, f func(*cluster.State, *core.Status)) error {
 	if err := rpc.RequireRole(ctx, rpc.RoleOperator); err != nil {
--- a/control/operator/server.go
+++ b/control/operator/server.go
@@ -56,7 +56,7 @@
 	{plan.ErrInvalid, api.Code_INVALID},
 }
 
-// withCode adds its code to an error. Errors that callers need not tell apart have
+// withCode adds its code to an error. Errors that clients need not tell apart have
 // none.
 func withCode(err error) error {
 	if err == nil {
@@ -74,7 +74,7 @@
 	return err
 }
 
-// change runs a command, or returns what it would change if the caller asks for a
+// change runs a command, or returns what it would change if the request is for a
 // dry run.
 func (s *Server) change(ctx context.Context, c *api.Change, cmd *plan.Command) (*api.ChangeReply, error) {
 	if err := rpc.RequireRole(ctx, rpc.RoleOperator); err != nil {
