--- a/control/cmd/catkinrail-control/daemon.go
+++ b/control/cmd/catkinrail-control/daemon.go
@@ -195,7 +195,7 @@
 	}
 	dir := gossip.New(gossip.Config{
 		Self: d.self(), Clock: clk, Log: d.log, Creds: d.creds, Group: g, Seeds: d.seeds,
-		SilentAfter: d.cfg.SilentAfter, Members: func() *quorum.Members { return c.Snapshot().Members }, Dir: d.dir,
+		SilentAfter: d.cfg.SilentAfter, Members: func() *quorum.Members { return c.Published().Members }, Dir: d.dir,
 	})
 	streams := follow.New(c, dir, clk, d.log)
 	mux := drpcmux.New()
@@ -246,21 +246,21 @@
 // the others to the known instances in turn. A leader sends it to itself, so that its
 // own name and addresses get updated.
 func (d *daemon) requestJoin(ctx context.Context, c *core.Core, v *voter.Transport, req *message.JoinRequest, attempt int) {
-	snap := c.Snapshot()
-	if snap.Leader == snap.Node {
+	state := c.Published()
+	if state.Leader == state.Node {
 		if _, err := c.Join(ctx, req); err != nil {
 			d.log.Debug().Err(err).Msg("join request to itself failed")
 		}
 		return
 	}
 	known := slices.Clone(d.seeds())
-	for _, id := range cluster.SortedKeys(snap.Members.Nodes) {
-		if addr := snap.Members.Nodes[id].Addr; !slices.Contains(known, addr) {
+	for _, id := range cluster.SortedKeys(state.Members.Nodes) {
+		if addr := state.Members.Nodes[id].Addr; !slices.Contains(known, addr) {
 			known = append(known, addr)
 		}
 	}
 	addr := known[attempt%len(known)]
-	if leader, ok := snap.Members.Nodes[snap.Leader]; ok && attempt%2 == 0 {
+	if leader, ok := state.Members.Nodes[state.Leader]; ok && attempt%2 == 0 {
 		addr = leader.Addr
 	} else if named := v.LeaderAddr(); named != "" && attempt%2 == 0 {
 		addr = named
--- a/control/core/core.go
+++ b/control/core/core.go
@@ -112,10 +112,10 @@
 	stopped chan struct{}
 	reads   []pendingRead
 	// publishedMembersIndex is the index of the entry that set the members in the
-	// published snapshot.
+	// published state.
 	publishedMembersIndex uint64
-	published             atomic.Pointer[Snapshot]
-	// advanced is closed and replaced when a snapshot is published.
+	published             atomic.Pointer[PublishedState]
+	// advanced is closed and replaced when a state is published.
 	advanced atomic.Pointer[chan struct{}]
 	synced   atomic.Int64
 }
--- a/control/core/document.go
+++ b/control/core/document.go
@@ -10,9 +10,9 @@
 	"catkinrail.example/catkinrail/state/cluster"
 )
 
-// Snapshot is the part of a core's state that can be read without waiting for its
+// PublishedState is the part of a core's state that can be read without waiting for its
 // goroutine.
-type Snapshot struct {
+type PublishedState struct {
 	// Document is the document at the applied index, nil before the first.
 	Document *catkinrail.Document
 	// Applied is the index of the last entry that was applied.
@@ -25,9 +25,9 @@
 	Term   uint64
 }
 
-// publish makes the current state available to Snapshot and Synced.
+// publish makes the current state available to Published and Synced.
 func (c *Core) publish() {
-	// Synced must not run ahead of the snapshot, so its time is stored last.
+	// Synced must not run ahead of the published state, so its time is stored last.
 	defer c.synced.Store(c.node.Synced())
 	old := c.published.Load()
 	if old != nil && old.Applied == c.node.AppliedIndex() && old.Leader == c.node.LeaderID() &&
@@ -35,7 +35,7 @@
 		return
 	}
 	c.publishedMembersIndex = c.node.MembersIndex()
-	s := &Snapshot{
+	s := &PublishedState{
 		Document: c.state.Document, Applied: c.node.AppliedIndex(), Members: c.node.Members(),
 		Node: c.node.ID(), Leader: c.node.LeaderID(), Term: c.node.Term(),
 	}
@@ -47,7 +47,7 @@
 }
 
 // logChange logs a change of the leader, the document or the members.
-func (c *Core) logChange(old, s *Snapshot) {
+func (c *Core) logChange(old, s *PublishedState) {
 	if old.Leader != s.Leader || old.Term != s.Term {
 		c.cfg.Log.Info().Uint64("term", s.Term).Str("leader", s.Members.Nodes[s.Leader].Name).
 			Uint64("applied", s.Applied).Msg("leader changed")
@@ -68,13 +68,13 @@
 	return &ch
 }
 
-// Snapshot returns the latest published state. It never blocks, even while the
+// Published returns the state that was published last. It never blocks, even while the
 // core waits for its disk.
-func (c *Core) Snapshot() *Snapshot {
+func (c *Core) Published() *PublishedState {
 	return c.published.Load()
 }
 
-// Advanced returns a channel that is closed when the next snapshot is published.
+// Advanced returns a channel that is closed when the next state is published.
 func (c *Core) Advanced() <-chan struct{} {
 	return *c.advanced.Load()
 }
--- a/control/core/document_test.go
+++ b/control/core/document_test.go
@@ -58,7 +58,7 @@
 				require.NoError(t, (<-done).Err)
 			}
 			for _, c := range tc.cores {
-				require.Equal(t, tt.want, string(c.Snapshot().Document.Source))
+				require.Equal(t, tt.want, string(c.Published().Document.Source))
 			}
 		})
 	}
@@ -73,7 +73,7 @@
 	require.NoError(t, (<-first).Err)
 	require.NoError(t, (<-second).Err)
 	for _, c := range tc.cores {
-		require.Equal(t, "a", string(c.Snapshot().Document.Source))
+		require.Equal(t, "a", string(c.Published().Document.Source))
 	}
 }
 
@@ -106,7 +106,7 @@
 	tc.run(100 * time.Millisecond)
 	require.NoError(t, <-confirmed)
 	for _, c := range tc.cores {
-		require.GreaterOrEqual(t, c.Snapshot().Applied, index)
+		require.GreaterOrEqual(t, c.Published().Applied, index)
 	}
 }
 
@@ -130,7 +130,7 @@
 	tc.disks[1].FailAfter(-1, nil)
 	require.NoError(t, c.reopen())
 	tc.run(time.Second)
-	require.Equal(t, uint64(5), c.Snapshot().Document.Version)
+	require.Equal(t, uint64(5), c.Published().Document.Version)
 	done = tc.beginPut(c, doc(7, "c"))
 	tc.run(200 * time.Millisecond)
 	require.NoError(t, (<-done).Err)
@@ -151,7 +151,7 @@
 	for c.Synced() == 0 {
 		tc.run(10 * time.Millisecond)
 	}
-	require.Equal(t, uint64(5), c.Snapshot().Document.Version)
+	require.Equal(t, uint64(5), c.Published().Document.Version)
 }
 
 // addInstance starts an instance with an empty disk under the name and address of
@@ -215,7 +215,7 @@
 		lead := tc.leader()
 		require.NotNil(rt, lead)
 		if version > 0 {
-			require.Equal(rt, version, lead.Snapshot().Document.Version)
+			require.Equal(rt, version, lead.Published().Document.Version)
 		}
 	})
 }
@@ -228,9 +228,9 @@
 	away := tc.leader().cfg.ID%4 + 1
 	tc.down[away] = true
 	tc.run(4 * time.Second)
-	require.Equal(t, 4, tc.leader().Snapshot().Members.Voters())
+	require.Equal(t, 4, tc.leader().Published().Members.Voters())
 	tc.run(2 * time.Second)
-	require.Equal(t, 3, tc.leader().Snapshot().Members.Voters())
+	require.Equal(t, 3, tc.leader().Published().Members.Voters())
 	tc.down[away] = false
 	self := quorum.Peer{Name: fmt.Sprint("control-", away), Addr: fmt.Sprint("addr-", away)}
 	tc.run(3 * time.Second)
@@ -238,7 +238,7 @@
 	tc.awaitVote(&message.JoinRequest{Node: away, Peer: self})
 	tc.run(time.Second)
 	require.True(t, tc.cores[away].Joined(self))
-	require.Equal(t, 4, tc.leader().Snapshot().Members.Voters())
+	require.Equal(t, 4, tc.leader().Published().Members.Voters())
 }
 
 // TestFollowerRefersToLeader checks that a follower's reply to a request to join names
@@ -254,7 +254,7 @@
 	require.True(t, reply.RetryLater)
 	require.Equal(t, lead.cfg.ID, reply.Leader)
 	require.Equal(t, fmt.Sprint("addr-", lead.cfg.ID), reply.Members.Nodes[reply.Leader].Addr)
-	require.NotContains(t, lead.Snapshot().Members.Nodes, quorum.NodeID(9))
+	require.NotContains(t, lead.Published().Members.Nodes, quorum.NodeID(9))
 }
 
 // TestVoterAddressChange changes the name and addresses of a voter.
@@ -265,7 +265,7 @@
 	tc.awaitVote(&message.JoinRequest{Node: 2, Peer: self})
 	tc.run(200 * time.Millisecond)
 	require.True(t, tc.cores[2].Joined(self))
-	require.Equal(t, 3, tc.leader().Snapshot().Members.Voters())
+	require.Equal(t, 3, tc.leader().Published().Members.Voters())
 }
 
 func TestCompressedChangeRoundTrip(t *testing.T) {
--- a/control/core/members.go
+++ b/control/core/members.go
@@ -34,7 +34,7 @@
 // Joined reports whether this instance is a voter, is known by the given name and
 // addresses, and was in sync with a leader within memberTimeout.
 func (c *Core) Joined(self quorum.Peer) bool {
-	s := c.Snapshot()
+	s := c.Published()
 	return s.Members.Voter(s.Node) && s.Members.Nodes[s.Node] == self && c.now()-c.Synced() < int64(memberTimeout)
 }
 
--- a/control/document/store.go
+++ b/control/document/store.go
@@ -62,11 +62,11 @@
 	var lastErr error
 	for {
 		c := s.core
-		snap := c.Snapshot()
-		if snap.Document != nil && snap.Document.Version >= d.Version {
+		state := c.Published()
+		if state.Document != nil && state.Document.Version >= d.Version {
 			return nil
 		}
-		if err := s.put(ctx, c, snap, d); err == nil {
+		if err := s.put(ctx, c, state, d); err == nil {
 			return nil
 		} else if !errors.Is(err, context.DeadlineExceeded) || lastErr == nil {
 			lastErr = err
@@ -78,13 +78,13 @@
 }
 
 // put makes one attempt to have the leader put the document.
-func (s *Store) put(ctx context.Context, c *core.Core, snap *core.Snapshot, d *catkinrail.Document) error {
+func (s *Store) put(ctx context.Context, c *core.Core, state *core.PublishedState, d *catkinrail.Document) error {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	if snap.Leader == snap.Node {
+	if state.Leader == state.Node {
 		return c.PutDocument(ctx, d)
 	}
-	leader, ok := snap.Members.Nodes[snap.Leader]
+	leader, ok := state.Members.Nodes[state.Leader]
 	if !ok {
 		return errNoLeader
 	}
@@ -120,11 +120,11 @@
 func (s *Store) readIndex(ctx context.Context, c *core.Core) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	snap := c.Snapshot()
-	if snap.Leader == snap.Node {
+	state := c.Published()
+	if state.Leader == state.Node {
 		return c.ReadIndex(ctx)
 	}
-	leader, ok := snap.Members.Nodes[snap.Leader]
+	leader, ok := state.Members.Nodes[state.Leader]
 	if !ok {
 		return 0, errNoLeader
 	}
@@ -144,8 +144,8 @@
 func (s *Store) awaitApplied(ctx context.Context, c *core.Core, index uint64) (*catkinrail.Document, error) {
 	for {
 		advanced := c.Advanced()
-		if snap := c.Snapshot(); snap.Applied >= index {
-			return snap.Document, nil
+		if state := c.Published(); state.Applied >= index {
+			return state.Document, nil
 		}
 		select {
 		case <-advanced:
@@ -155,7 +155,7 @@
 	}
 }
 
-// awaitRetry waits for the next snapshot or for retryInterval, and returns false if
+// awaitRetry waits for the next published state or for retryInterval, and returns false if
 // ctx has ended.
 func awaitRetry(ctx context.Context, advanced <-chan struct{}) bool {
 	t := time.NewTimer(retryInterval)
--- a/control/follow/server.go
+++ b/control/follow/server.go
@@ -113,7 +113,7 @@
 }
 
 // wait waits until there may be something to send, and reports whether a keep-alive
-// is due. It ignores core snapshots with neither a newer document nor new members.
+// is due. It ignores published states with neither a newer document nor new members.
 func (st *stream) wait(ctx context.Context, advanced, changed <-chan struct{}, keepAlive <-chan time.Time) (keepAliveDue bool, err error) {
 	for {
 		select {
@@ -124,8 +124,8 @@
 		case <-changed:
 		case <-advanced:
 			advanced = st.core.Advanced()
-			snap := st.core.Snapshot()
-			if documentVersion(snap) <= st.Document && snap.Members == st.members {
+			published := st.core.Published()
+			if documentVersion(published) <= st.Document && published.Members == st.members {
 				continue
 			}
 		}
@@ -142,7 +142,7 @@
 }
 
 // documentVersion returns the version of the document in force, or zero without one.
-func documentVersion(s *core.Snapshot) uint64 {
+func documentVersion(s *core.PublishedState) uint64 {
 	if s.Document == nil {
 		return 0
 	}
@@ -155,10 +155,10 @@
 func (st *stream) update(keepAliveDue bool) (<-chan struct{}, error) {
 	now := st.clock.Now().UnixNano()
 	current := st.InContact()
-	snap := st.core.Snapshot()
+	published := st.core.Published()
 	complete := st.dir.Complete()
-	if v := documentVersion(snap); v > st.Document && current {
-		body, err := st.feed.encodeDocument(snap.Document)
+	if v := documentVersion(published); v > st.Document && current {
+		body, err := st.feed.encodeDocument(published.Document)
 		if err != nil {
 			return nil, err
 		}
@@ -172,11 +172,11 @@
 	if err != nil {
 		return nil, err
 	}
-	if !keepAliveDue && current == st.current && complete == st.complete && snap.Members == st.members {
+	if !keepAliveDue && current == st.current && complete == st.complete && published.Members == st.members {
 		return changed, nil
 	}
 	st.current, st.complete = current, complete
-	return changed, st.sendState(snap)
+	return changed, st.sendState(published)
 }
 
 // sendBackends sends all pending changes of the directory. It returns a channel that
@@ -196,13 +196,13 @@
 
 // sendState sends this instance's own state, and the control instances if they have
 // changed.
-func (st *stream) sendState(snap *core.Snapshot) error {
+func (st *stream) sendState(published *core.PublishedState) error {
 	u := &message.FollowUpdate{Current: st.current, Complete: st.complete, State: true}
 	u.Resume = message.ResumePoint{Process: st.process, Revision: st.revision}
-	if snap.Members != st.members {
-		st.members = snap.Members
-		for _, id := range cluster.SortedKeys(snap.Members.Nodes) {
-			u.Peers = append(u.Peers, snap.Members.Nodes[id])
+	if published.Members != st.members {
+		st.members = published.Members
+		for _, id := range cluster.SortedKeys(published.Members.Nodes) {
+			u.Peers = append(u.Peers, published.Members.Nodes[id])
 		}
 	}
 	body, err := cluster.EncodeCompressed(u)
--- a/control/operator/directory.go
+++ b/control/operator/directory.go
@@ -19,7 +19,7 @@
 	}
 	now := s.clock.Now()
 	reply := &api.DirectoryReply{Control: s.name, Current: s.follow.InContact()}
-	if d := s.core.Snapshot().Document; d != nil {
+	if d := s.core.Published().Document; d != nil {
 		reply.DocumentVersion = d.Version
 	}
 	list, _, _ := s.dir.Since(0)
--- a/emulator/control/standin.go
+++ b/emulator/control/standin.go
@@ -144,7 +144,7 @@
 func (f *fleet) leave(ctx context.Context) error {
 	for _, s := range f.instances {
 		s.client.Leave()
-		s.client.FinishLeaving()
+		s.client.CompleteLeave()
 	}
 	clock.Sleep(ctx, leaveWait)
 	f.stop()
--- a/entry/cmd/catkinrail-entry/daemon.go
+++ b/entry/cmd/catkinrail-entry/daemon.go
@@ -179,6 +179,6 @@
 
 // reportLeft makes the client report that the instance has left, and gives it time to.
 func (d *daemon) reportLeft(ctx context.Context) {
-	d.client.FinishLeaving()
+	d.client.CompleteLeave()
 	clock.Sleep(ctx, leaveReportTime)
 }
--- a/entry/control/client.go
+++ b/entry/control/client.go
@@ -81,8 +81,8 @@
 	c.leaving.Store(true)
 }
 
-// FinishLeaving makes the client report that the instance no longer forwards packets.
-func (c *Client) FinishLeaving() {
+// CompleteLeave makes the client report that the instance no longer forwards packets.
+func (c *Client) CompleteLeave() {
 	c.left.Store(true)
 }
 
--- a/fake/entry.go
+++ b/fake/entry.go
@@ -223,12 +223,12 @@
 func (e *Entry) handlePacket(p packet) {
 	e.runOrDefer(func() {
 		h := ip.Header{Key: p.flow.key, Flags: p.flags}
-		e.carryOut(e.Engine.HandlePacket(&h, e.localTime()), p)
+		e.execute(e.Engine.HandlePacket(&h, e.localTime()), p)
 	})
 }
 
-// carryOut does what the engine decided about a packet.
-func (e *Entry) carryOut(v route.Verdict, p packet) {
+// execute does what the engine decided about a packet.
+func (e *Entry) execute(v route.Verdict, p packet) {
 	n := e.net
 	switch v.Action {
 	case route.Drop:
@@ -246,7 +246,7 @@
 		}
 		e.transmit(to.ID, func(to *Entry) {
 			h := ip.Header{Key: p.flow.key, Flags: p.flags}
-			to.carryOut(to.Engine.HandleRelayed(&v.Message, &h, to.localTime()), p)
+			to.execute(to.Engine.HandleRelayed(&v.Message, &h, to.localTime()), p)
 		})
 	}
 }
