--- a/entry/packet/worker.go
+++ b/entry/packet/worker.go
@@ -118,7 +118,7 @@
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			return catkinrail.At(err, "receive packets", "")
+			return catkinrail.At(err, "read packets", "")
 		}
 		w.Batch(n)
 	}
