--- a/control/document/store.go
+++ b/control/document/store.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// awaitRetry waits for the next published state or for retryInterval, and returns false if
-// ctx has ended.
+// awaitRetry waits for the next published state or for retryInterval, and returns
+// false if ctx has ended.
 func awaitRetry(ctx context.Context, advanced <-chan struct{}) bool {
 	t := time.NewTimer(retryInterval)
 	defer t.Stop()
--- a/emulator/control/standin.go
+++ b/emulator/control/standin.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// lowestVersion returns the lowest configuration version among the stand-ins.
+// lowestVersion returns the lowest state version among the stand-ins.
 func (f *fleet) lowestVersion() uint64 {
 	lowest := f.instances[0].engine.Version()
 	for _, s := range f.instances {
--- a/fake/disk.go
+++ b/fake/disk.go
@@ -20,7 +20,7 @@
 // blockSize is the unit, in bytes, in which unsynced data survives a crash.
 const blockSize = 64
 
-// Disk is an in-memory directory that loses unsynced data when the machine
+// Disk is an in-memory folder that loses unsynced data when the machine
 // crashes. It implements catkinrail.Dir.
 type Disk struct {
 	files map[string]*diskFile
@@ -37,7 +37,7 @@
 	synced int
 }
 
-// NewDisk returns an empty directory.
+// NewDisk returns an empty folder.
 func NewDisk() *Disk {
 	return &Disk{files: map[string]*diskFile{}, durable: map[string]*diskFile{}, opsUntilFault: -1}
 }
--- a/fake/net.go
+++ b/fake/net.go
@@ -38,7 +38,7 @@
 	Copies int
 	// Loss is the share of packets that each hop loses, 0 to 1.
 	Loss float64
-	// MaxUpdateDelay is the maximum additional delay of a configuration update.
+	// MaxUpdateDelay is the maximum additional delay of changes of the cluster state.
 	MaxUpdateDelay time.Duration
 	// MaxClockDrift is the maximum deviation of an instance's clock rate, as a share.
 	MaxClockDrift float64
--- a/flow.go
+++ b/flow.go
@@ -39,9 +39,9 @@
 type Record struct {
 	Key  FlowKey
 	Slot SlotID
-	// Epoch is the state version under which the slot was chosen. Of
-	// two records for one flow the lower epoch wins, because packets may already
-	// have been forwarded by it.
+	// Epoch is the state version under which the slot was chosen. Of two records for
+	// one flow the lower epoch wins, because packets may already have been forwarded
+	// by it.
 	Epoch uint64
 	// Established is set once the caller has completed the handshake.
 	Established bool
